--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -18,4 +18,5 @@
 pub mod replay;
 pub mod rosters;
 pub mod routing;
+pub mod socket;
 pub mod transports;
