--- /dev/null
+++ b/crates/node/src/engine/counters/tests.rs
@@ -0,0 +1,43 @@
+use super::*;
+
+fn names(count: usize) -> Vec<String> {
+    (0..count).map(|number| format!("class-{number}")).collect()
+}
+
+#[test]
+fn a_line_tells_the_counts_by_name() {
+    let mut counters = Counters::default();
+    assert!(counters.is_idle());
+    *counters.of(ClassId(0)) = Tally { arrived: 3, refused: 1, ..Tally::default() };
+    counters.ended(Outcome::Reset);
+    counters.ended(Outcome::Reset);
+    let connections = Counts { reused: 7, ..Counts::default() };
+    let line = counters.told(&connections, &names(1)).to_string();
+    assert!(line.contains("arrived=3 ") && line.contains("refused=1 "), "{line}");
+    assert!(line.contains("attempts reset=2;") && line.contains("reused=7 "), "{line}");
+    assert!(!line.contains("class-0"), "a single class is all there is: {line}");
+    assert!(!counters.is_idle());
+}
+
+/// Guards against a class that is hardly served while the sum looks well.
+#[test]
+fn classes_are_told_apart() {
+    let mut counters = Counters::default();
+    *counters.of(ClassId(2)) = Tally { arrived: 9, served: 9, late: 2, ..Tally::default() };
+    *counters.of(ClassId(0)) = Tally { arrived: 4, refused: 4, unsent: 3, ..Tally::default() };
+    let line = counters.told(&Counts::default(), &names(3)).to_string();
+    assert!(line.contains("requests arrived=13 served=9 late=2 refused=4 unsent=3 "), "{line}");
+    assert!(line.contains("; class-2 arrived=9 served=9 late=2 refused=0 "), "{line}");
+    assert!(line.contains("; class-0 arrived=4 served=0 late=0 refused=4 unsent=3 "), "{line}");
+    assert!(!line.contains("class-1"), "{line}");
+}
+
+/// Guards against lines as long as the operators' file.
+#[test]
+fn of_hundreds_of_classes_the_busiest_are_told() {
+    let mut counters = Counters::default();
+    (0..300).for_each(|class| counters.of(ClassId(class)).arrived = 1 + class as u32);
+    let line = counters.told(&Counts::default(), &names(300)).to_string();
+    assert!(line.contains("; class-299 arrived=300 ") && line.contains("; 292 more classes;"), "{line}");
+    assert!(!line.contains("class-291 "), "{line}");
+}
--- a/crates/node/src/engine/members.rs
+++ b/crates/node/src/engine/members.rs
@@ -75,19 +75,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_slow_engine_misses_the_oldest_and_is_told_once() {
-        let (happenings, mut told) = mpsc::unbounded_channel();
-        let mailbox = Mailbox::new(happenings);
-        let from = SocketAddr::from(([127, 0, 0, 1], 9));
-        let kept = (0..WAITING + 3).filter(|n| mailbox.deliver(from, vec![(*n % 256) as u8])).count();
-        assert_eq!(kept, WAITING);
-        let waiting = mailbox.take();
-        assert_eq!((waiting.len(), waiting.front().map(|(_, bytes)| bytes[0])), (WAITING, Some(3)));
-        assert!(matches!(told.try_recv(), Ok(Happening::Mail)) && told.try_recv().is_err());
-        assert!(mailbox.deliver(from, Vec::new()) && told.try_recv().is_ok(), "the next is told again");
-    }
-}
+mod tests;
