--- a/crates/node/src/fronts/http/request.rs
+++ b/crates/node/src/fronts/http/request.rs
@@ -18,7 +18,8 @@
 use crate::figures::InFlight;
 use crate::fronts::address_lists::Client;
 
-/// A longer time-out is absurd: no class may have so long a limit.
+/// A longer time-out is absurd: no class may have so long a limit. None at all is not: a client counts from when it
+/// sent the request, and its time may have been up by then.
 const MAX_TIMEOUT_MS: u64 = 1_000_000_000;
 
 /// What is wrong with a request.
@@ -74,6 +75,10 @@
     if let Some(in_flight) = in_flight {
         in_flight.came_whole(at);
     }
+    if time_left.is_zero() {
+        // Nothing was forwarded, so that trying again is harmless.
+        return plain(StatusCode::SERVICE_UNAVAILABLE, "the client's time is up");
+    }
     let time_left = front.granted(at, time_left);
     if time_left.is_zero() {
         return plain(StatusCode::SERVICE_UNAVAILABLE, "the sidecar ends");
@@ -138,7 +143,7 @@
         return Err(bad("X-Request-ID is missing"));
     }
     let time_left = single(headers, "x-timeout-ms")?.ok_or(bad("X-Timeout-Ms is missing"))?;
-    let time_left = time_left.parse().ok().filter(|ms| (1..=MAX_TIMEOUT_MS).contains(ms));
+    let time_left = time_left.parse().ok().filter(|ms| *ms <= MAX_TIMEOUT_MS);
     let time_left =
         Duration::from_millis(time_left.ok_or(bad("X-Timeout-Ms is not a number of milliseconds"))?);
     let tenant = match single(headers, "x-tenant-id")? {
