--- a/crates/node/src/figures/fleet.rs
+++ b/crates/node/src/figures/fleet.rs
@@ -67,8 +67,7 @@
         let mut collected = figures.collected();
         figures.count(&mut collected, 0, Some(503), Duration::ZERO, 7);
         figures.put_fleet(&mut collected, 7);
-        let (bytes, _) = collected.lines.take();
-        let text = String::from_utf8(bytes).expect("text");
+        let text = String::from_utf8(collected.lines.take().bytes).expect("text");
         text.lines().filter(|line| !line.contains("answer")).map(str::to_owned).collect()
     }
 
