--- a/crates/node/src/transports/http1/attempt.rs
+++ b/crates/node/src/transports/http1/attempt.rs
@@ -4,12 +4,13 @@
 use std::sync::Arc;
 
 use sagemast::api::Outcome;
-use tokio::time::{Instant, sleep_until};
+use tokio::time::{Instant, sleep, sleep_until};
 
 use super::connection::Connection;
 use super::exchange::{Failure, exchange, explain, outcome_of, size_on_the_wire, upstream_request};
+use super::local_failure::FurtherTries;
 use super::stream::{StreamState, Withheld, WriteRules};
-use super::transport::{Shared, Source};
+use super::transport::{NoConnection, Shared, Source};
 use crate::engine::{Attempt, BODY_BYTES, End, Flight, Interest, KeyWindow, Pass, Peer};
 
 /// Why nothing was written, where rules of residency forbid it.
@@ -19,12 +20,22 @@
 
 /// How an attempt ended over one connection.
 enum ExchangeEnd {
-    /// With an answer, which the engine was told.
-    Answered,
-    /// In another way.
+    /// The engine was told.
+    Told,
+    /// In a way that the engine has yet to be told.
     Ended(End),
     /// The idle connection had been closed and no byte was written to it: another may be used.
     Stale,
+    /// No connection could be opened, for a reason of this machine's: another try may be made.
+    LocalFailure(NoConnection),
+}
+
+/// Why an attempt has no connection.
+enum Unconnected {
+    /// It is not wanted any more, or its key's window closed.
+    Over,
+    /// None came up.
+    Failed(NoConnection),
 }
 
 /// Whether an attempt may be written. Asked before it takes the connection, and again at the writes themselves.
@@ -113,47 +124,91 @@
 
 impl Shared {
     /// Runs an attempt to its end and tells the engine of it.
-    pub(super) async fn run_attempt(self: Arc<Shared>, mut attempt: Attempt, mut source: Source, peer: Peer) {
+    pub(super) async fn run_attempt(
+        self: Arc<Shared>,
+        mut attempt: Attempt,
+        mut source: Source,
+        mut peer: Peer,
+    ) {
         let flight = attempt.flight;
-        // Each turn uses up a connection of the pool, and there is an end to those.
+        let mut tries = FurtherTries::new(flight.until);
+        // Each turn uses up a connection of the pool or a further try, and there is an end to both.
         loop {
-            let pooled = source.is_pooled();
-            let connection = match self.connect_attempt(&mut attempt, source, &peer).await {
-                Ok(connection) => connection,
-                Err(outcome) => return self.reports.ended(flight, End::Outcome(outcome, None)),
-            };
-            // While it connected, its time may have run out, the request may have ended or the upstream may have
-            // begun to drain or to live anew: what is not written yet must not be.
-            let rules = AttemptRules::new(&self, &attempt, &peer);
-            let allowed = if attempt.is_given_up() { Err(Withheld::NotWanted) } else { rules.check() };
-            if let Err(reason) = allowed {
-                self.reports.ended(flight, end_of_unwritten(reason));
-                return self.keep(flight.upstream, peer.life, connection).await;
-            }
-            match self.exchange_attempt(&mut attempt, connection, pooled, rules).await {
-                ExchangeEnd::Answered => return,
+            let next = match self.attempt_once(&mut attempt, source, &peer).await {
+                ExchangeEnd::Told => return,
                 ExchangeEnd::Ended(end) => return self.reports.ended(flight, end),
-                ExchangeEnd::Stale => self.state().counts.stale += 1,
-            }
-            // Nothing was written: the same attempt goes on over another connection, if it still may.
-            source = match self.replacement(&mut attempt, &peer) {
-                Ok(source) => source,
+                ExchangeEnd::Stale => {
+                    self.state().counts.stale += 1;
+                    self.replacement(&mut attempt, &peer)
+                }
+                ExchangeEnd::LocalFailure(failure) => {
+                    self.after_local_failure(&mut attempt, &peer, &mut tries, failure).await
+                }
+            };
+            (source, peer) = match next {
+                Ok(next) => next,
                 Err(end) => return self.reports.ended(flight, *end),
             };
         }
     }
 
+    /// Runs an attempt over one connection.
+    async fn attempt_once(
+        self: &Arc<Shared>,
+        attempt: &mut Attempt,
+        source: Source,
+        peer: &Peer,
+    ) -> ExchangeEnd {
+        let flight = attempt.flight;
+        let pooled = source.is_pooled();
+        let connection = match self.connect_attempt(attempt, source, peer).await {
+            Ok(connection) => connection,
+            Err(end) => return end_of_unconnected(end),
+        };
+        // Meanwhile its time may have run out, the request may have ended or the upstream may have begun to drain or to
+        // live anew: what is not written yet must not be.
+        let rules = AttemptRules::new(self, attempt, peer);
+        let allowed = if attempt.is_given_up() { Err(Withheld::NotWanted) } else { rules.check() };
+        if let Err(reason) = allowed {
+            self.reports.ended(flight, end_of_unwritten(reason, connection.used));
+            self.keep(flight.upstream, peer.life, connection).await;
+            return ExchangeEnd::Told;
+        }
+        self.exchange_attempt(attempt, connection, pooled, rules).await
+    }
+
     /// Another connection for an attempt whose idle one had been closed.
-    fn replacement(self: &Arc<Shared>, attempt: &mut Attempt, peer: &Peer) -> Result<Source, Box<End>> {
+    fn replacement(
+        self: &Arc<Shared>,
+        attempt: &mut Attempt,
+        peer: &Peer,
+    ) -> Result<(Source, Peer), Box<End>> {
         if attempt.is_given_up() {
-            return Err(Box::new(end_of_unwritten(Withheld::NotWanted)));
+            return Err(Box::new(end_of_unwritten(Withheld::NotWanted, true)));
         }
         let allowed = AttemptRules::new(self, attempt, peer).check();
-        allowed.map_err(|reason| Box::new(end_of_unwritten(reason)))?;
-        match self.source(attempt.flight.upstream) {
-            Some((source, _)) => Ok(source),
-            None => Err(Box::new(End::Outcome(Outcome::NotSent, None))),
+        allowed.map_err(|reason| Box::new(end_of_unwritten(reason, true)))?;
+        let source = self.source(attempt.flight.upstream);
+        source.ok_or_else(|| Box::new(End::Outcome(Outcome::NotSent, None)))
+    }
+
+    /// Another connection for an attempt that could not open one, after a pause. It says nothing about the upstream.
+    async fn after_local_failure(
+        self: &Arc<Shared>,
+        attempt: &mut Attempt,
+        peer: &Peer,
+        tries: &mut FurtherTries,
+        failure: NoConnection,
+    ) -> Result<(Source, Peer), Box<End>> {
+        let Some(pause) = tries.next_pause() else {
+            return Err(Box::new(End::Broken(Outcome::NotSent, failure.to_string())));
+        };
+        tokio::select! {
+            biased;
+            _ = &mut attempt.given_up => return Err(Box::new(end_of_unwritten(Withheld::NotWanted, true))),
+            () = sleep(pause) => {}
         }
+        self.replacement(attempt, peer)
     }
 
     /// Opens a connection for an attempt, if it has none yet.
@@ -162,20 +217,21 @@
         attempt: &mut Attempt,
         source: Source,
         peer: &Peer,
-    ) -> Result<Connection, Outcome> {
+    ) -> Result<Connection, Unconnected> {
         let window_closes = closes(attempt);
         let until = attempt.flight.until.min(window_closes.unwrap_or(attempt.flight.until));
         let connected = tokio::select! {
             connected = self.connect(source, peer, until) => connected,
-            _ = &mut attempt.given_up => return Err(Outcome::NotSent),
+            _ = &mut attempt.given_up => return Err(Unconnected::Over),
         };
-        match connected {
-            Some(connection) => Ok(connection),
-            None if attempt.is_given_up() || window_closes.is_some_and(|at| Instant::now() >= at) => {
-                Err(Outcome::NotSent)
+        connected.map_err(|failure| {
+            let window_closed = window_closes.is_some_and(|at| Instant::now() >= at);
+            if attempt.is_given_up() || window_closed {
+                Unconnected::Over
+            } else {
+                Unconnected::Failed(failure)
             }
-            None => Err(Outcome::Unreachable),
-        }
+        })
     }
 
     /// Runs an attempt over a connection until it ends, its time is up or it is given up.
@@ -208,7 +264,7 @@
                 // The engine hears of the answer before the connection settles.
                 self.reports.ended(flight, End::Outcome(outcome_of(&answer), Some(answer)));
                 self.keep(flight.upstream, peer.life, connection).await;
-                return ExchangeEnd::Answered;
+                return ExchangeEnd::Told;
             }
             Err(failure) => failure,
         };
@@ -238,14 +294,25 @@
     }
 }
 
+/// The end of an attempt that has no connection.
+fn end_of_unconnected(why: Unconnected) -> ExchangeEnd {
+    match why {
+        Unconnected::Over => ExchangeEnd::Ended(End::Outcome(Outcome::NotSent, None)),
+        Unconnected::Failed(failure) if failure.is_local() => ExchangeEnd::LocalFailure(failure),
+        Unconnected::Failed(_) => ExchangeEnd::Ended(End::Outcome(Outcome::Unreachable, None)),
+    }
+}
+
 /// Whether a connection that broke before anything was written had only been idle for too long.
 fn is_stale(withheld: Option<Withheld>) -> bool {
     matches!(withheld, None | Some(Withheld::Closed | Withheld::UnexpectedBytes))
 }
 
-/// The end of an attempt of which nothing was written.
-fn end_of_unwritten(reason: Withheld) -> End {
+/// The end of an attempt of which nothing was written. Where its connection was open already, or there was none to wait
+/// for, the time that ran out was ours.
+fn end_of_unwritten(reason: Withheld, was_open: bool) -> End {
     match reason {
+        Withheld::TimeIsUp if was_open => End::Outcome(Outcome::NotSent, None),
         Withheld::NotWanted => End::Outcome(Outcome::NotSent, None),
         Withheld::OutsideRegions => End::Broken(Outcome::NotSent, OUTSIDE.to_owned()),
         Withheld::KeyWindowClosed => End::Broken(Outcome::NotSent, KEY_WINDOW_CLOSED.to_owned()),
@@ -264,11 +331,14 @@
     if let (Failure::Broken(_), true, Some(reason)) =
         (&failure, progress.is_unwritten(), progress.stream.withheld())
     {
-        return end_of_unwritten(reason);
+        return end_of_unwritten(reason, used);
     }
     match failure {
+        Failure::TimedOut if used && progress.is_unwritten() => end_of_unwritten(Withheld::TimeIsUp, used),
         Failure::GivenUp if progress.is_unwritten() => End::Outcome(Outcome::NotSent, None),
-        Failure::KeyWindowClosed if progress.is_unwritten() => end_of_unwritten(Withheld::KeyWindowClosed),
+        Failure::KeyWindowClosed if progress.is_unwritten() => {
+            end_of_unwritten(Withheld::KeyWindowClosed, used)
+        }
         // The upstream says that it never ran.
         Failure::Early(answer) if outcome_of(&answer) == Outcome::Full => {
             End::Outcome(Outcome::Full, Some(answer))
--- a/crates/node/src/transports/http1/connection.rs
+++ b/crates/node/src/transports/http1/connection.rs
@@ -1,5 +1,6 @@
 //! A connection to an upstream, from its opening until its socket is closed.
 
+use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,6 +15,7 @@
 use tokio::time::{Instant, timeout, timeout_at};
 
 use super::stream::{GuardedStream, StreamState};
+use crate::socket::ConnectError;
 
 /// Room for a head; hyper also reads bodies through it.
 const BUFFER_BYTES: usize = 32 << 10;
@@ -44,19 +46,14 @@
         dial: SocketAddr,
         until: Instant,
         permit: OwnedSemaphorePermit,
-    ) -> Result<Connection, String> {
-        let socket = timeout_at(until, TcpStream::connect(dial))
-            .await
-            .map_err(|_| "connecting took too long".to_owned())?
-            .map_err(|error| format!("cannot connect: {error}"))?;
-        // Without it the kernel may hold back a small request.
-        socket.set_nodelay(true).map_err(|error| error.to_string())?;
+    ) -> Result<Connection, ConnectError> {
+        let socket = open_socket(dial, until).await?;
         let (guarded, stream) = GuardedStream::new(socket);
         let (sender, connection) = http1::Builder::new()
             .max_buf_size(BUFFER_BYTES)
             .handshake(TokioIo::new(guarded))
             .await
-            .map_err(|error| error.to_string())?;
+            .map_err(|error| ConnectError::Remote(io::Error::other(error)))?;
         let (close, closed) = oneshot::channel();
         let task = tokio::spawn(async move {
             // How an exchange failed shows at the exchange. Once it is to be closed, nothing more is written.
@@ -88,3 +85,12 @@
         Some(self)
     }
 }
+
+/// Opens a socket to an upstream by `until`.
+async fn open_socket(dial: SocketAddr, until: Instant) -> Result<TcpStream, ConnectError> {
+    let connected = timeout_at(until, TcpStream::connect(dial)).await;
+    let socket = connected.map_err(|_| ConnectError::TimedOut)?.map_err(ConnectError::from_system_call)?;
+    // Without it the kernel may hold back a small request.
+    socket.set_nodelay(true).map_err(ConnectError::from_system_call)?;
+    Ok(socket)
+}
--- a/crates/node/src/transports/http1/mod.rs
+++ b/crates/node/src/transports/http1/mod.rs
@@ -3,6 +3,7 @@
 mod attempt;
 mod connection;
 mod exchange;
+mod local_failure;
 mod pool;
 mod probe;
 mod settings;
--- a/crates/node/src/transports/http1/probe.rs
+++ b/crates/node/src/transports/http1/probe.rs
@@ -3,15 +3,16 @@
 use std::sync::Arc;
 
 use sagemast::api::UpstreamId;
-use tokio::time::{Instant, timeout_at};
+use tokio::time::{Instant, sleep, timeout_at};
 
 use super::exchange::{exchange, probe_request, size_on_the_wire};
+use super::local_failure::FurtherTries;
 use super::stream::{Withheld, WriteRules};
 use super::transport::Shared;
 use crate::engine::Answer;
 
-/// A probe may be written at any time.
-struct Always;
+/// What may be written at any time, as a probe may.
+pub struct Always;
 
 impl WriteRules for Always {
     fn begin(&self) -> Result<(), Withheld> {
@@ -26,12 +27,17 @@
 impl Shared {
     /// Probes an upstream and tells what came of it.
     pub(super) async fn run_probe(self: Arc<Shared>, upstream: UpstreamId, until: Instant) {
-        // Each turn uses up a connection of the pool, and there is an end to those.
+        let mut tries = FurtherTries::new(until);
+        // Each turn uses up a connection of the pool or a further try, and there is an end to both.
         while Instant::now() < until {
             match self.probe_once(upstream, until).await {
                 ProbeEnd::Answered => return,
                 ProbeEnd::Failed => break,
                 ProbeEnd::Stale => self.state().counts.stale += 1,
+                ProbeEnd::LocalFailure => match tries.next_pause() {
+                    Some(pause) => sleep(pause).await,
+                    None => break,
+                },
             }
         }
         self.reports.probed(upstream, None);
@@ -40,7 +46,11 @@
     async fn probe_once(&self, upstream: UpstreamId, until: Instant) -> ProbeEnd {
         let Some((source, peer)) = self.source(upstream) else { return ProbeEnd::Failed };
         let pooled = source.is_pooled();
-        let Some(mut connection) = self.connect(source, &peer, until).await else { return ProbeEnd::Failed };
+        let mut connection = match self.connect(source, &peer, until).await {
+            Ok(connection) => connection,
+            Err(failure) if failure.is_local() => return ProbeEnd::LocalFailure,
+            Err(_) => return ProbeEnd::Failed,
+        };
         let before = connection.stream.written();
         let request = probe_request(self.settings.probe_path, peer.dial);
         let complete_at = before + size_on_the_wire(&request, 0);
@@ -70,4 +80,6 @@
     Failed,
     /// The idle connection had been closed, and nothing was written to it: another may be used.
     Stale,
+    /// No connection could be opened, for a reason of this machine's.
+    LocalFailure,
 }
--- a/crates/node/src/transports/http1/tests/answers.rs
+++ b/crates/node/src/transports/http1/tests/answers.rs
@@ -8,7 +8,7 @@
 use crate::engine::BODY_BYTES;
 use crate::transports::http1::connection::Connection;
 use crate::transports::http1::exchange::{exchange, size_on_the_wire, upstream_request};
-use crate::transports::http1::stream::{Withheld, WriteRules};
+use crate::transports::http1::probe::Always;
 
 /// How an upstream ends a connection after what it sent.
 #[derive(Debug, Clone, Copy)]
@@ -147,18 +147,6 @@
     assert!(bytes_until_closed(&mut stream).await < HUGE_BODY);
 }
 
-struct Always;
-
-impl WriteRules for Always {
-    fn begin(&self) -> Result<(), Withheld> {
-        Ok(())
-    }
-
-    fn proceed(&self) -> Result<(), Withheld> {
-        Ok(())
-    }
-}
-
 /// What tells whether a request was written whole must be what hyper writes.
 #[tokio::test]
 async fn the_size_of_a_request_is_what_is_written() {
--- /dev/null
+++ b/crates/node/src/transports/http1/tests/local_failures.rs
@@ -0,0 +1,81 @@
+//! Connections that this machine cannot open: nothing of it is the upstream's doing.
+
+use sagemast::api::Outcome;
+
+use super::*;
+
+/// An address that the kernel refuses to connect to by itself, with `ENETUNREACH`.
+const UNROUTABLE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::BROADCAST), 9);
+
+/// Lets the tasks of the transport run for a moment.
+async fn let_tasks_run() {
+    for _ in 0..3 {
+        tokio::task::yield_now().await;
+    }
+}
+
+#[tokio::test]
+async fn a_failure_of_this_machine_is_not_held_against_the_upstream() {
+    let (transport, mut seen) = transport_with(settings());
+    transport.update_upstream(UPSTREAM, peer(UNROUTABLE, 0));
+    let (attempt, _wanted) = attempt();
+    transport.attempt(attempt);
+    assert_eq!(seen.answer().await.0, Outcome::NotSent);
+    assert_eq!(transport.shared.permits.available_permits(), 2);
+    assert!(transport.counts().opened > 1, "it was tried more than once");
+}
+
+#[tokio::test]
+async fn a_refused_connection_is_held_against_the_upstream_at_once() {
+    let (transport, mut seen, listener) = one_upstream(settings()).await;
+    drop(listener);
+    let (attempt, _wanted) = attempt();
+    transport.attempt(attempt);
+    assert_eq!(seen.answer().await.0, Outcome::Unreachable);
+    assert_eq!(transport.counts().opened, 1);
+}
+
+#[tokio::test]
+async fn a_request_is_sent_once_this_machine_can_connect_again() {
+    let (transport, mut seen) = transport_with(settings());
+    transport.update_upstream(UPSTREAM, peer(UNROUTABLE, 0));
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let (attempt, _wanted) = attempt();
+    transport.attempt(attempt);
+    let_tasks_run().await;
+    transport.update_upstream(UPSTREAM, peer(listener.local_addr().expect("an address"), 0));
+    let mut stream = accept(&listener).await;
+    read_head(&mut stream).await;
+    write(&mut stream, OK_FIRST).await;
+    assert_eq!(seen.answer().await.0, Outcome::Ok);
+    assert!(!is_connected_to(listener), "it is sent once");
+}
+
+#[tokio::test]
+async fn an_attempt_given_up_between_two_tries_is_not_sent() {
+    let (transport, mut seen) = transport_with(settings());
+    transport.update_upstream(UPSTREAM, peer(UNROUTABLE, 0));
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let (attempt, mut wanted) = attempt();
+    transport.attempt(attempt);
+    let_tasks_run().await;
+    wanted.give_up = None;
+    transport.update_upstream(UPSTREAM, peer(listener.local_addr().expect("an address"), 0));
+    assert_eq!(seen.answer().await.0, Outcome::NotSent);
+    assert!(!is_connected_to(listener));
+    assert_eq!(transport.shared.permits.available_permits(), 2);
+}
+
+#[tokio::test]
+async fn a_probe_is_made_once_this_machine_can_connect_again() {
+    let (transport, mut seen) = transport_with(settings());
+    transport.update_upstream(UPSTREAM, peer(UNROUTABLE, 0));
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    transport.probe(UPSTREAM, Instant::now() + Duration::from_secs(10));
+    let_tasks_run().await;
+    transport.update_upstream(UPSTREAM, peer(listener.local_addr().expect("an address"), 0));
+    let mut stream = accept(&listener).await;
+    read_head(&mut stream).await;
+    write(&mut stream, OK_SECOND).await;
+    assert_eq!(seen.probed().await.expect("an answer").body, "second");
+}
--- a/crates/node/src/transports/http1/tests/mod.rs
+++ b/crates/node/src/transports/http1/tests/mod.rs
@@ -4,6 +4,7 @@
 mod before_the_first_byte;
 mod connections;
 mod key_window;
+mod local_failures;
 mod pool;
 
 use std::io::ErrorKind;
--- a/crates/node/src/transports/http1/transport.rs
+++ b/crates/node/src/transports/http1/transport.rs
@@ -4,6 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use sagemast::api::{Outcome, UpstreamId};
+use thiserror::Error;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::Instant;
 use tracing::warn;
@@ -12,6 +13,7 @@
 use super::pool::Pool;
 use super::settings::Settings;
 use crate::engine::{Attempt, Counts, End, Peer, Reports, Transport};
+use crate::socket::ConnectError;
 
 /// The transport.
 pub struct Http1 {
@@ -55,6 +57,27 @@
     }
 }
 
+/// Why a source led to no connection.
+#[derive(Debug, Error)]
+pub(super) enum NoConnection {
+    /// None came up.
+    #[error(transparent)]
+    Connect(#[from] ConnectError),
+    /// The idle connection that was closed for it did not hand on its permit.
+    #[error("a connection that was closed kept its permit")]
+    PermitKept,
+}
+
+impl NoConnection {
+    /// Whether it is this machine's doing and says nothing about the upstream.
+    pub(super) fn is_local(&self) -> bool {
+        match self {
+            NoConnection::Connect(error) => error.is_local(),
+            NoConnection::PermitKept => true,
+        }
+    }
+}
+
 impl Http1 {
     /// A transport that knows no upstream yet.
     pub fn new(settings: Settings, reports: Reports) -> Http1 {
@@ -149,21 +172,21 @@
         Some(Source::Replace(Box::new(oldest)))
     }
 
-    /// The connection of a source, opened by `until` if it is not open. `None` if it does not come up.
-    pub(super) async fn connect(&self, source: Source, peer: &Peer, until: Instant) -> Option<Connection> {
+    /// The connection of a source, opened by `until` if it is not open.
+    pub(super) async fn connect(
+        &self,
+        source: Source,
+        peer: &Peer,
+        until: Instant,
+    ) -> Result<Connection, NoConnection> {
         let permit = match source {
-            Source::Pooled(connection) => return Some(*connection),
+            Source::Pooled(connection) => return Ok(*connection),
             Source::Dial(permit) => permit,
-            Source::Replace(connection) => connection.close().await?,
+            Source::Replace(connection) => connection.close().await.ok_or(NoConnection::PermitKept)?,
         };
         let until = until.min(Instant::now() + self.settings.connect_timeout);
-        match Connection::open(peer.dial, until, permit).await {
-            Ok(connection) => Some(connection),
-            Err(reason) => {
-                warn!("upstream {}: {reason}", peer.host);
-                None
-            }
-        }
+        let opened = Connection::open(peer.dial, until, permit).await;
+        Ok(opened.inspect_err(|error| warn!("upstream {}: {error}", peer.host))?)
     }
 
     /// What is known of an upstream now.
