--- a/crates/node/src/transports/http1/attempt.rs
+++ b/crates/node/src/transports/http1/attempt.rs
@@ -165,6 +165,7 @@
             Ok(connection) => connection,
             Err(end) => return end_of_unconnected(end),
         };
+        rest(attempt, &connection).await;
         // Meanwhile its time may have run out, the request may have ended or the upstream may have begun to drain or to
         // live anew: what is not written yet must not be.
         let rules = AttemptRules::new(self, attempt, peer);
@@ -188,7 +189,7 @@
         }
         let allowed = AttemptRules::new(self, attempt, peer).check();
         allowed.map_err(|reason| Box::new(end_of_unwritten(reason, true)))?;
-        let source = self.source(attempt.flight.upstream);
+        let source = self.source(attempt.flight.upstream, attempt.flight.until);
         source.ok_or_else(|| Box::new(End::Outcome(Outcome::NotSent, None)))
     }
 
@@ -221,6 +222,8 @@
         let window_closes = closes(attempt);
         let until = attempt.flight.until.min(window_closes.unwrap_or(attempt.flight.until));
         let connected = tokio::select! {
+            // One that is open already is not lost to an attempt that was given up.
+            biased;
             connected = self.connect(source, peer, until) => connected,
             _ = &mut attempt.given_up => return Err(Unconnected::Over),
         };
@@ -294,6 +297,18 @@
     }
 }
 
+/// Waits until a connection has rested, unless the attempt is given up before.
+async fn rest(attempt: &mut Attempt, connection: &Connection) {
+    let rested_at = connection.rested_at();
+    if rested_at > Instant::now() && !attempt.is_given_up() {
+        tokio::select! {
+            biased;
+            _ = &mut attempt.given_up => {}
+            () = sleep_until(rested_at) => {}
+        }
+    }
+}
+
 /// The end of an attempt that has no connection.
 fn end_of_unconnected(why: Unconnected) -> ExchangeEnd {
     match why {
--- a/crates/node/src/transports/http1/connection.rs
+++ b/crates/node/src/transports/http1/connection.rs
@@ -14,6 +14,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, timeout, timeout_at};
 
+use super::pool::REST;
 use super::stream::{GuardedStream, StreamState};
 use crate::socket::ConnectError;
 
@@ -33,7 +34,7 @@
     pub stream: Arc<StreamState>,
     /// Whether it has carried a request before.
     pub used: bool,
-    /// Since when it has carried nothing.
+    /// Since when it has carried nothing: since its last answer was read whole, or since it was opened.
     pub idle_since: Instant,
     /// Dropped or used to close it.
     close: oneshot::Sender<()>,
@@ -78,10 +79,14 @@
         self.task.await.ok()
     }
 
+    /// When it may carry the next request: one that carried none yet at once, any other once it has rested.
+    pub fn rested_at(&self) -> Instant {
+        if self.used { self.idle_since + REST } else { self.idle_since }
+    }
+
     /// Waits until the next request can be sent. `None` if the upstream closes it.
     pub async fn settle(mut self) -> Option<Connection> {
         timeout(SETTLE, self.sender.ready()).await.ok()?.ok()?;
-        self.idle_since = Instant::now();
         Some(self)
     }
 }
--- a/crates/node/src/transports/http1/exchange.rs
+++ b/crates/node/src/transports/http1/exchange.rs
@@ -44,6 +44,7 @@
     connection.used = true;
     let early = connection.stream.written() < complete_at;
     let answer = read_answer(response).await?;
+    connection.idle_since = Instant::now();
     if early { Err(Failure::Early(answer)) } else { Ok(answer) }
 }
 
--- a/crates/node/src/transports/http1/pool.rs
+++ b/crates/node/src/transports/http1/pool.rs
@@ -6,61 +6,54 @@
 
 use super::connection::Connection;
 
-/// A connection that has been idle for less may still bring bytes that belong to no request: a second answer to the
-/// last one, or the beginning of one. Those that lie in the socket are seen before the first byte is written; those
+/// A connection that was used less than this ago may still bring bytes that belong to no request: a second answer to
+/// the last one, or the beginning of one. Those that lie in the socket are seen before the first byte is written; those
 /// that cross it on the wire are not, and would be taken for the answer to the next request.
 pub const REST: Duration = Duration::from_millis(20);
 
-/// Where the next connection comes from.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Choice {
-    /// The idle connection at this place.
-    Reuse(usize),
-    /// A new connection.
-    Dial,
-}
-
-/// So many idle connections to one upstream are enough: with as many a fresh one is used rather than one more dialled.
-const ENOUGH: usize = 2;
-
-/// Chooses among connections that have been idle for so long, the longest idle first.
+/// Which of the idle connections is used next, by when each of them has rested, the longest idle first.
 ///
-/// Among those that have rested for [`REST`] the latest used is taken, so that the others can grow old and close.
-/// With only a fresher one a new connection is dialled while over half of the permits are free. A handshake costs
-/// the upstream work and the request time, but it leaves a connection behind that is likely to have rested at the
-/// next request. Under traffic that would have one dialled for each request, and with permits scarce, the one that
-/// has rested longest is taken: the crossing is rare, while connections at upstreams are few.
-pub fn choose(idle_for: &[Duration], permits_free: usize, permits: usize) -> Choice {
-    if let Some(rested) = idle_for.iter().rposition(|idle| *idle >= REST) {
-        return Choice::Reuse(rested);
-    }
-    let plentiful = permits_free > permits / 2;
-    if idle_for.is_empty() || (plentiful && idle_for.len() < ENOUGH) {
-        return Choice::Dial;
+/// Among those that have rested the latest used is taken, so that the others can grow old and close. With none, the one
+/// that will have rested first is taken, if that is by `latest`, and whoever takes it waits until then. A handshake
+/// costs the upstream work and the request time; a short wait costs nothing but itself.
+pub fn choose(
+    rested_at: impl DoubleEndedIterator<Item = Instant> + ExactSizeIterator,
+    now: Instant,
+    latest: Instant,
+) -> Option<usize> {
+    let mut first = (None, latest);
+    for (place, at) in rested_at.enumerate().rev() {
+        if at <= now {
+            return Some(place);
+        }
+        if at <= first.1 {
+            first = (Some(place), at);
+        }
     }
-    Choice::Reuse(0)
+    first.0
 }
 
-/// The idle connections to one upstream, the latest used last.
+/// The idle connections to one upstream, the longest idle first.
 #[derive(Default)]
 pub struct Pool {
     idle: Vec<Connection>,
 }
 
 impl Pool {
-    /// Takes the one that is to be used next, if one is.
-    pub fn take(&mut self, idle_limit: Duration, permits_free: usize, permits: usize) -> Option<Connection> {
+    /// Takes the one that is to be used next by what has to end by `until`, if there is one. It may have to rest first,
+    /// for half of that time at most.
+    pub fn take(&mut self, idle_limit: Duration, until: Instant) -> Option<Connection> {
         self.sweep(idle_limit);
-        let idle_for: Vec<Duration> = self.idle.iter().map(|idle| idle.idle_since.elapsed()).collect();
-        match choose(&idle_for, permits_free, permits) {
-            Choice::Reuse(place) => Some(self.idle.remove(place)),
-            Choice::Dial => None,
-        }
+        let now = Instant::now();
+        let latest = now + until.saturating_duration_since(now) / 2;
+        let place = choose(self.idle.iter().map(Connection::rested_at), now, latest)?;
+        Some(self.idle.remove(place))
     }
 
     /// Takes one back.
     pub fn put(&mut self, connection: Connection) {
-        self.idle.push(connection);
+        let place = self.idle.partition_point(|idle| idle.idle_since <= connection.idle_since);
+        self.idle.insert(place, connection);
     }
 
     /// Closes those that were closed by the upstream or have been idle for too long.
--- a/crates/node/src/transports/http1/probe.rs
+++ b/crates/node/src/transports/http1/probe.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use sagemast::api::UpstreamId;
-use tokio::time::{Instant, sleep, timeout_at};
+use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
 use super::exchange::{exchange, probe_request, size_on_the_wire};
 use super::local_failure::FurtherTries;
@@ -44,13 +44,14 @@
     }
 
     async fn probe_once(&self, upstream: UpstreamId, until: Instant) -> ProbeEnd {
-        let Some((source, peer)) = self.source(upstream) else { return ProbeEnd::Failed };
+        let Some((source, peer)) = self.source(upstream, until) else { return ProbeEnd::Failed };
         let pooled = source.is_pooled();
         let mut connection = match self.connect(source, &peer, until).await {
             Ok(connection) => connection,
             Err(failure) if failure.is_local() => return ProbeEnd::LocalFailure,
             Err(_) => return ProbeEnd::Failed,
         };
+        sleep_until(connection.rested_at()).await;
         let before = connection.stream.written();
         let request = probe_request(self.settings.probe_path, peer.dial);
         let complete_at = before + size_on_the_wire(&request, 0);
--- a/crates/node/src/transports/http1/tests/pool.rs
+++ b/crates/node/src/transports/http1/tests/pool.rs
@@ -4,27 +4,35 @@
 use tokio::io::AsyncWriteExt;
 
 use super::*;
-use crate::transports::http1::pool::{Choice, REST, choose};
+use crate::transports::http1::pool::{REST, choose};
+
+/// Which of connections that were used so long ago is taken, for what has so much time left to wait.
+fn chosen(used_ago: &[Duration], wait: Duration) -> Option<usize> {
+    let now = Instant::now();
+    choose(used_ago.iter().map(|ago| now - *ago + REST), now, now + wait)
+}
 
 const FRESH: Duration = Duration::from_millis(1);
 
 #[test]
 fn the_latest_that_has_rested_is_used() {
-    assert_eq!(choose(&[REST * 3, REST * 2, FRESH], 9, 10), Choice::Reuse(1));
-    assert_eq!(choose(&[REST], 9, 10), Choice::Reuse(0));
+    assert_eq!(chosen(&[REST * 3, REST * 2, FRESH], REST), Some(1));
+    assert_eq!(chosen(&[REST], Duration::ZERO), Some(0));
 }
 
+/// Requests in a row do not each cost a handshake.
 #[test]
-fn a_fresh_connection_is_left_alone_while_permits_are_plentiful() {
-    assert_eq!(choose(&[FRESH], 6, 10), Choice::Dial);
-    assert_eq!(choose(&[FRESH], 5, 10), Choice::Reuse(0));
-    assert_eq!(choose(&[], 0, 10), Choice::Dial);
+fn of_fresh_connections_the_one_that_has_rested_first_is_waited_for() {
+    assert_eq!(chosen(&[FRESH], REST), Some(0));
+    assert_eq!(chosen(&[FRESH * 2, FRESH], REST), Some(0));
+    assert_eq!(chosen(&[FRESH, FRESH * 2], REST), Some(1));
 }
 
-/// Requests in a row do not each cost a handshake.
 #[test]
-fn of_enough_fresh_connections_the_longest_idle_is_used() {
-    assert_eq!(choose(&[FRESH * 2, FRESH], 9, 10), Choice::Reuse(0));
+fn none_is_waited_for_that_rests_for_longer_than_there_is_time() {
+    assert_eq!(chosen(&[FRESH], REST / 2), None);
+    assert_eq!(chosen(&[REST / 2, FRESH], REST / 2), Some(0));
+    assert_eq!(chosen(&[], REST), None);
 }
 
 /// Bytes that came while a connection was idle, and that the event loop has not reported yet: the connection is not
@@ -78,3 +86,40 @@
     std::io::Write::write_all(&mut &stream, OK_FIRST).expect("written");
     assert_eq!(seen.answer().await.0, Outcome::Unreachable, "{address}");
 }
+
+/// A connection that has just brought an answer is not written to before it has rested, nor is another opened for that.
+/// The time told to the upstream is what is left after the rest.
+#[tokio::test]
+async fn a_fresh_connection_rests_before_its_next_request() {
+    let (transport, mut seen, listener) = one_upstream(settings()).await;
+    let before_the_answer = Instant::now();
+    let mut stream = pooled_connection(&transport, &mut seen, &listener).await;
+    let (attempt, _wanted) = attempt();
+    let most = attempt.flight.until - before_the_answer - REST;
+    transport.attempt(attempt);
+    let head = read_head(&mut stream).await;
+    assert!(before_the_answer.elapsed() >= REST);
+    assert!(told_time(&head) <= most, "{head}");
+    write(&mut stream, OK_SECOND).await;
+    assert_eq!(seen.answer().await.0, Outcome::Ok);
+    assert!(!is_connected_to(listener));
+}
+
+/// The time that a request tells its upstream.
+fn told_time(head: &str) -> Duration {
+    let value = head.lines().find_map(|line| line.strip_prefix("x-timeout-ms: ")).expect("a time");
+    Duration::from_millis(value.parse().expect("a number"))
+}
+
+/// Given up before its connection has rested: nothing is written, and the connection is kept.
+#[tokio::test]
+async fn an_attempt_given_up_before_its_connection_has_rested_is_not_sent() {
+    let (transport, mut seen, listener) = one_upstream(settings()).await;
+    let stream = pooled_connection(&transport, &mut seen, &listener).await;
+    let (attempt, mut wanted) = attempt();
+    transport.attempt(attempt);
+    wanted.give_up = None;
+    assert_eq!(seen.answer().await.0, Outcome::NotSent);
+    until_idle(&transport, 1).await;
+    assert!(stream.try_read(&mut [0]).is_err(), "nothing was written");
+}
--- a/crates/node/src/transports/http1/transport.rs
+++ b/crates/node/src/transports/http1/transport.rs
@@ -106,7 +106,8 @@
 
     fn attempt(&self, mut attempt: Attempt) {
         let flight = attempt.flight;
-        let source = if attempt.is_wanted() { self.shared.source(flight.upstream) } else { None };
+        let source =
+            if attempt.is_wanted() { self.shared.source(flight.upstream, flight.until) } else { None };
         // An idle connection is taken now, in the order in which the module has sent.
         match source {
             Some((source, peer)) => {
@@ -140,16 +141,14 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// An idle connection, or the right to a new one. `None` for an upstream that is not known, and out of sockets
-    /// of our own: neither is a fault of the upstream's.
-    pub(super) fn source(&self, id: UpstreamId) -> Option<(Source, Peer)> {
+    /// An idle connection, or the right to a new one, for what has to end by `until`. `None` for an upstream that is
+    /// not known, and out of sockets of our own: neither is a fault of the upstream's.
+    pub(super) fn source(&self, id: UpstreamId, until: Instant) -> Option<(Source, Peer)> {
         let mut state = self.state();
         let State { upstreams, counts } = &mut *state;
         let upstream = upstreams.get_mut(&id)?;
         let peer = upstream.peer.clone();
-        let free = self.permits.available_permits();
-        let Settings { idle_limit, connections, .. } = self.settings;
-        if let Some(connection) = upstream.pool.take(idle_limit, free, connections) {
+        if let Some(connection) = upstream.pool.take(self.settings.idle_limit, until) {
             counts.reused += 1;
             return Some((Source::Pooled(Box::new(connection)), peer));
         }
