--- a/crates/node/src/fronts/http/listener.rs
+++ b/crates/node/src/fronts/http/listener.rs
@@ -21,6 +21,7 @@
 use crate::fronts::Phase;
 use crate::fronts::address_lists::Client;
 use crate::fronts::tls::{self, Tls};
+use crate::socket::SystemCalls;
 
 /// Clients that connect while the sidecar starts or is busy wait here.
 const BACKLOG: u32 = 4096;
@@ -55,7 +56,7 @@
 }
 
 /// Listens. The address may be in use by connections of a predecessor that was killed.
-pub fn listen(address: SocketAddr) -> Result<TcpListener> {
+pub fn listen(_system_calls: &Arc<dyn SystemCalls>, address: SocketAddr) -> Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
     socket.bind(address).with_context(|| format!("cannot listen on {address}"))?;
--- a/crates/node/src/rosters/discovery.rs
+++ b/crates/node/src/rosters/discovery.rs
@@ -24,6 +24,7 @@
 use crate::log;
 use crate::rosters::host_list::HostList;
 use crate::rosters::values::Values;
+use crate::socket::SystemCalls;
 
 /// Where no descriptor is left for a call, the next try comes so much later.
 const DESCRIPTOR_RETRY: Duration = Duration::from_millis(100);
@@ -36,6 +37,8 @@
     pub must_ask_in: Option<Millis>,
     /// For the waits between calls.
     pub seed: u64,
+    /// What its sockets are opened with.
+    pub system_calls: Arc<dyn SystemCalls>,
     /// Where its news go.
     pub news: News,
 }
--- a/crates/node/src/transports/http1/connection.rs
+++ b/crates/node/src/transports/http1/connection.rs
@@ -14,6 +14,7 @@
 use tokio::time::{Instant, timeout, timeout_at};
 
 use super::stream::{GuardedStream, StreamState};
+use crate::socket::SystemCalls;
 
 /// Room for a head; hyper also reads bodies through it.
 const BUFFER_BYTES: usize = 32 << 10;
@@ -41,6 +42,7 @@
 impl Connection {
     /// Connects by `until`.
     pub async fn open(
+        _system_calls: &Arc<dyn SystemCalls>,
         dial: SocketAddr,
         until: Instant,
         permit: OwnedSemaphorePermit,
--- a/crates/node/src/transports/http1/tests/answers.rs
+++ b/crates/node/src/transports/http1/tests/answers.rs
@@ -167,7 +167,7 @@
     let until = Instant::now() + Duration::from_secs(10);
     let permits = Arc::new(Semaphore::new(1));
     let permit = permits.acquire_owned().await.expect("a permit");
-    let mut connection = Connection::open(dial, until, permit).await.expect("a connection");
+    let mut connection = Connection::open(&kernel(), dial, until, permit).await.expect("a connection");
     let mut stream = accept(&listener).await;
     for (method, target, body) in [
         (Method::GET, "/", ""),
--- a/crates/node/src/transports/http1/tests/mod.rs
+++ b/crates/node/src/transports/http1/tests/mod.rs
@@ -23,6 +23,7 @@
 
 use super::{Http1, Settings};
 use crate::engine::{Attempt, Flight, Forward, Interest, Names, Peer, Seen, Transport, Ways};
+use crate::socket::{Kernel, SystemCalls};
 
 const UPSTREAM: UpstreamId = UpstreamId(7);
 /// More than the kernel holds for a connection that is not read from.
@@ -39,10 +40,15 @@
     }
 }
 
+/// The system calls of the kernel.
+fn kernel() -> Arc<dyn SystemCalls> {
+    Arc::new(Kernel)
+}
+
 /// A transport, and what it tells.
 fn transport_with(settings: Settings) -> (Http1, Seen) {
     let ways = Ways::new(Names { classes: Vec::new(), tenants: Vec::new() });
-    (Http1::new(settings, ways.reports), ways.inbox.seen())
+    (Http1::new(settings, kernel(), ways.reports), ways.inbox.seen())
 }
 
 fn peer(dial: SocketAddr, life: u64) -> Peer {
--- a/crates/node/src/transports/http1/transport.rs
+++ b/crates/node/src/transports/http1/transport.rs
@@ -12,6 +12,7 @@
 use super::pool::Pool;
 use super::settings::Settings;
 use crate::engine::{Attempt, Counts, End, Peer, Reports, Transport};
+use crate::socket::SystemCalls;
 
 /// The transport.
 pub struct Http1 {
@@ -21,6 +22,7 @@
 /// What the transport shares with the tasks of its attempts and probes.
 pub(super) struct Shared {
     pub(super) settings: Settings,
+    system_calls: Arc<dyn SystemCalls>,
     pub(super) permits: Arc<Semaphore>,
     pub(super) reports: Reports,
     state: Mutex<State>,
@@ -57,9 +59,10 @@
 
 impl Http1 {
     /// A transport that knows no upstream yet.
-    pub fn new(settings: Settings, reports: Reports) -> Http1 {
+    pub fn new(settings: Settings, system_calls: Arc<dyn SystemCalls>, reports: Reports) -> Http1 {
         let permits = Arc::new(Semaphore::new(settings.connections));
-        Http1 { shared: Arc::new(Shared { settings, permits, reports, state: Mutex::default() }) }
+        let state = Mutex::default();
+        Http1 { shared: Arc::new(Shared { settings, system_calls, permits, reports, state }) }
     }
 }
 
@@ -157,7 +160,7 @@
             Source::Replace(connection) => connection.close().await?,
         };
         let until = until.min(Instant::now() + self.settings.connect_timeout);
-        match Connection::open(peer.dial, until, permit).await {
+        match Connection::open(&self.system_calls, peer.dial, until, permit).await {
             Ok(connection) => Some(connection),
             Err(reason) => {
                 warn!("upstream {}: {reason}", peer.host);
