--- a/crates/node/src/transports/http1/connection.rs
+++ b/crates/node/src/transports/http1/connection.rs
@@ -16,7 +16,7 @@
 
 use super::pool::REST;
 use super::stream::{GuardedStream, StreamState};
-use crate::socket::ConnectError;
+use crate::socket::{ConnectError, SystemCalls};
 
 /// Room for a head; hyper also reads bodies through it.
 const BUFFER_BYTES: usize = 32 << 10;
@@ -44,6 +44,7 @@
 impl Connection {
     /// Connects by `until`.
     pub async fn open(
+        _system_calls: &Arc<dyn SystemCalls>,
         dial: SocketAddr,
         until: Instant,
         permit: OwnedSemaphorePermit,
