--- a/crates/node/src/transports/http1/transport.rs
+++ b/crates/node/src/transports/http1/transport.rs
@@ -13,7 +13,7 @@
 use super::pool::Pool;
 use super::settings::Settings;
 use crate::engine::{Attempt, Counts, End, Peer, Reports, Transport};
-use crate::socket::ConnectError;
+use crate::socket::{ConnectError, SystemCalls};
 
 /// The transport.
 pub struct Http1 {
@@ -23,6 +23,7 @@
 /// What the transport shares with the tasks of its attempts and probes.
 pub(super) struct Shared {
     pub(super) settings: Settings,
+    system_calls: Arc<dyn SystemCalls>,
     pub(super) permits: Arc<Semaphore>,
     pub(super) reports: Reports,
     state: Mutex<State>,
@@ -80,9 +81,10 @@
 
 impl Http1 {
     /// A transport that knows no upstream yet.
-    pub fn new(settings: Settings, reports: Reports) -> Http1 {
+    pub fn new(settings: Settings, system_calls: Arc<dyn SystemCalls>, reports: Reports) -> Http1 {
         let permits = Arc::new(Semaphore::new(settings.connections));
-        Http1 { shared: Arc::new(Shared { settings, permits, reports, state: Mutex::default() }) }
+        let state = Mutex::default();
+        Http1 { shared: Arc::new(Shared { settings, system_calls, permits, reports, state }) }
     }
 }
 
@@ -106,7 +108,8 @@
 
     fn attempt(&self, mut attempt: Attempt) {
         let flight = attempt.flight;
-        let source = if attempt.is_wanted() { self.shared.source(flight.upstream) } else { None };
+        let source =
+            if attempt.is_wanted() { self.shared.source(flight.upstream, flight.until) } else { None };
         // An idle connection is taken now, in the order in which the module has sent.
         match source {
             Some((source, peer)) => {
@@ -140,16 +143,14 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// An idle connection, or the right to a new one. `None` for an upstream that is not known, and out of sockets
-    /// of our own: neither is a fault of the upstream's.
-    pub(super) fn source(&self, id: UpstreamId) -> Option<(Source, Peer)> {
+    /// An idle connection, or the right to a new one, for what has to end by `until`. `None` for an upstream that is
+    /// not known, and out of sockets of our own: neither is a fault of the upstream's.
+    pub(super) fn source(&self, id: UpstreamId, until: Instant) -> Option<(Source, Peer)> {
         let mut state = self.state();
         let State { upstreams, counts } = &mut *state;
         let upstream = upstreams.get_mut(&id)?;
         let peer = upstream.peer.clone();
-        let free = self.permits.available_permits();
-        let Settings { idle_limit, connections, .. } = self.settings;
-        if let Some(connection) = upstream.pool.take(idle_limit, free, connections) {
+        if let Some(connection) = upstream.pool.take(self.settings.idle_limit, until) {
             counts.reused += 1;
             return Some((Source::Pooled(Box::new(connection)), peer));
         }
@@ -185,7 +186,7 @@
             Source::Replace(connection) => connection.close().await.ok_or(NoConnection::PermitKept)?,
         };
         let until = until.min(Instant::now() + self.settings.connect_timeout);
-        let opened = Connection::open(peer.dial, until, permit).await;
+        let opened = Connection::open(&self.system_calls, peer.dial, until, permit).await;
         Ok(opened.inspect_err(|error| warn!("upstream {}: {error}", peer.host))?)
     }
 
