--- a/crates/harelock/src/lib.rs
+++ b/crates/harelock/src/lib.rs
@@ -16,7 +16,6 @@
 
 use anyhow::{Context, Result, bail};
 use clap::Parser;
-use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{Notify, watch};
 use tokio::task::spawn_blocking;
@@ -36,7 +35,7 @@
 use node::rosters::discovery;
 use node::rosters::host_list::HostList;
 use node::routing::platform;
-use node::socket::SystemCalls;
+use node::socket::{Listener, SystemCalls};
 use node::transports::http1::{self, Http1};
 use residency::Rules;
 use routes::Table;
@@ -226,7 +225,7 @@
     system_calls: &Arc<dyn SystemCalls>,
     settings: &operator::Tls,
     plain: SocketAddr,
-) -> Result<(TcpListener, Arc<Tls>)> {
+) -> Result<(Listener, Arc<Tls>)> {
     let tls = Arc::new(Tls::start(Source::new(settings)?)?);
     let at = SocketAddr::new(plain.ip(), settings.port.unwrap_or_default());
     let listener = http::listen(system_calls, at).context("tls.port")?;
--- a/crates/harelock/tests/discovery_failures.rs
+++ b/crates/harelock/tests/discovery_failures.rs
@@ -255,7 +255,7 @@
     let back = discovery.calls(before + 1)[before].at - returned;
     assert!(back <= Duration::from_millis(PERIOD + LATE), "{back:?}");
     assert_eq!(sidecar.count(&["waiting for a descriptor"]), 0);
-    assert_eq!(sidecar.count(&["cannot accept"]), 0);
+    assert_eq!(sidecar.count(&["system_call_failed", "call=accept"]), 0);
 }
 
 /// Guards against waits after failed calls where nothing but a descriptor was missing: they are retried soon, and the
--- a/crates/node/src/fronts/http/connection.rs
+++ b/crates/node/src/fronts/http/connection.rs
@@ -216,8 +216,8 @@
             }
             in_flight.answered(response.status().as_u16());
         }
-        let has_more = self.has_more(body);
-        if self.is_last(&open) && !has_more {
+        let pipelined = self.pipelined(body);
+        if self.is_last(&open) && !pipelined && !self.socket.has_unread() {
             response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         Ok(response)
@@ -230,10 +230,9 @@
         is_ending || (open.is_first && *self.scarce.borrow())
     }
 
-    /// Whether the client may have sent more than the request that ends here, with a body of so many bytes.
-    fn has_more(&self, body: Option<u64>) -> bool {
-        let pipelined = self.framing.lock().unwrap_or_else(PoisonError::into_inner).end_of_request(body);
-        pipelined || self.socket.has_unread()
+    /// Whether more was received than the request that ends here, with a body of so many bytes.
+    fn pipelined(&self, body: Option<u64>) -> bool {
+        self.framing.lock().unwrap_or_else(PoisonError::into_inner).end_of_request(body)
     }
 }
 
--- a/crates/node/src/fronts/http/listener.rs
+++ b/crates/node/src/fronts/http/listener.rs
@@ -3,12 +3,10 @@
 use std::fmt::{Display, Formatter};
 use std::net::SocketAddr;
 use std::sync::Arc;
-use std::time::Duration;
 
 use anyhow::{Context, Result};
 use bytes::BytesMut;
 use tokio::io::{AsyncReadExt, join};
-use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::{Semaphore, watch};
 use tokio::time::{Instant, sleep, sleep_until};
 use tokio_rustls::TlsAcceptor;
@@ -21,12 +19,8 @@
 use crate::fronts::Phase;
 use crate::fronts::address_lists::Client;
 use crate::fronts::tls::{self, Tls};
-use crate::socket::SystemCalls;
+use crate::socket::{Listener, Stream, SystemCalls};
 
-/// Clients that connect while the sidecar starts or is busy wait here.
-const BACKLOG: u32 = 4096;
-/// The wait after a failed accept: out of descriptors, a busy loop would starve those who could free some.
-const ACCEPT_BACK_OFF: Duration = Duration::from_millis(20);
 /// Connections are scarce while less than one in so many is free.
 const SCARCE: usize = 4;
 
@@ -55,35 +49,41 @@
     }
 }
 
-/// Listens. The address may be in use by connections of a predecessor that was killed.
-pub fn listen(_system_calls: &Arc<dyn SystemCalls>, address: SocketAddr) -> Result<TcpListener> {
-    let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
-    socket.set_reuseaddr(true)?;
-    socket.bind(address).with_context(|| format!("cannot listen on {address}"))?;
-    Ok(socket.listen(BACKLOG)?)
+/// Listens.
+pub fn listen(system_calls: &Arc<dyn SystemCalls>, address: SocketAddr) -> Result<Listener> {
+    Listener::bind(system_calls.clone(), address).with_context(|| format!("cannot listen on {address}"))
 }
 
 /// The sockets that clients connect to.
 pub struct Listeners {
     /// The plain port.
-    pub plain: TcpListener,
+    pub plain: Listener,
     /// The port behind which a TLS handshake comes first, if there is one.
-    pub tls: Option<(TcpListener, Arc<Tls>)>,
+    pub tls: Option<(Listener, Arc<Tls>)>,
 }
 
 impl Listeners {
-    /// The next connection, and the configuration of its handshake if it owes one.
-    async fn accept(&self) -> std::io::Result<(TcpStream, SocketAddr, Option<Arc<ServerConfig>>)> {
+    /// The next connection.
+    async fn accept(&self) -> Accepted {
         let Some((listener, tls)) = &self.tls else {
-            return self.plain.accept().await.map(|(stream, peer)| (stream, peer, None));
+            let (stream, peer) = self.plain.accept().await;
+            return Accepted { stream, peer, handshake: None };
         };
         tokio::select! {
-            plain = self.plain.accept() => plain.map(|(stream, peer)| (stream, peer, None)),
-            other = listener.accept() => other.map(|(stream, peer)| (stream, peer, Some(tls.config()))),
+            (stream, peer) = self.plain.accept() => Accepted { stream, peer, handshake: None },
+            (stream, peer) = listener.accept() => Accepted { stream, peer, handshake: Some(tls.config()) },
         }
     }
 }
 
+/// A connection that was accepted.
+struct Accepted {
+    stream: Stream,
+    peer: SocketAddr,
+    /// The configuration of its handshake if it owes one.
+    handshake: Option<Arc<ServerConfig>>,
+}
+
 /// Accepts clients until the end: when the process is closing, no connection is open and none waits to be accepted.
 pub async fn serve(listeners: Listeners, front: Arc<Front>, max_connections: usize) {
     let permits = Arc::new(Semaphore::new(max_connections));
@@ -99,25 +99,17 @@
             accepted = listeners.accept() => accepted,
             () = all_done(&mut phase, &front) => return,
         };
-        match accepted {
-            Ok((_, peer, _)) if front.turns_away(peer) => {
-                warn!("connection from client={} is denied", peer.ip().to_canonical());
-            }
-            Ok((stream, peer, handshake)) => {
-                let (own, permits, scarcity) = (front.clone(), permits.clone(), scarcity.clone());
-                let opened = Opened { at: Instant::now(), scarce: scarcity.subscribe() };
-                front.intake.connections.spawn(async move {
-                    identify(stream, peer, handshake, &own, opened).await;
-                    drop(permit);
-                    scarcity
-                        .send_if_modified(|scarce| std::mem::replace(scarce, is_scarce(&permits)) != *scarce);
-                });
-            }
-            Err(error) => {
-                warn!("cannot accept: {error}");
-                sleep(ACCEPT_BACK_OFF).await;
-            }
+        if front.turns_away(accepted.peer) {
+            warn!("connection from client={} is denied", accepted.peer.ip().to_canonical());
+            continue;
         }
+        let (own, permits, scarcity) = (front.clone(), permits.clone(), scarcity.clone());
+        let opened = Opened { at: Instant::now(), scarce: scarcity.subscribe() };
+        front.intake.connections.spawn(async move {
+            identify(accepted, &own, opened).await;
+            drop(permit);
+            scarcity.send_if_modified(|scarce| std::mem::replace(scarce, is_scarce(&permits)) != *scarce);
+        });
     }
 }
 
@@ -131,13 +123,8 @@
 }
 
 /// Finds out who is at the other end of a new connection, as far as that is asked, and serves it.
-async fn identify(
-    stream: TcpStream,
-    peer: SocketAddr,
-    handshake: Option<Arc<ServerConfig>>,
-    front: &Arc<Front>,
-    opened: Opened,
-) {
+async fn identify(accepted: Accepted, front: &Arc<Front>, opened: Opened) {
+    let Accepted { stream, peer, handshake } = accepted;
     let socket = ClientSocket::new(stream);
     let mut stream = socket.clone();
     let mut who = Who::default();
--- a/crates/node/src/fronts/http/socket.rs
+++ b/crates/node/src/fronts/http/socket.rs
@@ -6,18 +6,17 @@
 //! reads ahead into a bounded buffer, which the server is given first once it reads again.
 
 use std::io;
-use std::mem::MaybeUninit;
 use std::pin::Pin;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
-use std::task::{Context, Poll, ready};
+use std::task::{Context, Poll};
 use std::time::Duration;
 
 use bytes::{Buf, BytesMut};
-use socket2::SockRef;
-use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
-use tokio::net::TcpStream;
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::timeout;
 
+use crate::socket::{Readiness, Stream};
+
 /// So much is read ahead while a request is being answered. Behind more than this a close shows only by the event that
 /// the kernel sends for it.
 const READ_AHEAD_BYTES: usize = 64 << 10;
@@ -31,16 +30,14 @@
 }
 
 struct Shared {
-    stream: TcpStream,
+    stream: Stream,
     /// What was read ahead and not asked for yet.
     ahead: Mutex<BytesMut>,
 }
 
 impl ClientSocket {
     /// Takes over an accepted stream.
-    pub fn new(stream: TcpStream) -> ClientSocket {
-        // Small answers must not wait in the kernel: a reset would take them along.
-        let _ = stream.set_nodelay(true);
+    pub fn new(stream: Stream) -> ClientSocket {
         ClientSocket { shared: Arc::new(Shared { stream, ahead: Mutex::default() }) }
     }
 
@@ -49,17 +46,17 @@
     pub async fn closed_by_peer(&self, watched: impl Fn() -> bool) -> bool {
         loop {
             let room = READ_AHEAD_BYTES.saturating_sub(self.ahead().len());
-            // With no room left only the close itself is waited for: it is reported with any interest.
-            let interest = if room > 0 { Interest::READABLE } else { Interest::PRIORITY };
-            let ready = self.shared.stream.ready(interest).await;
+            let readiness = if room > 0 {
+                self.shared.stream.readable().await
+            } else {
+                // Only the close itself is waited for.
+                self.shared.stream.closed().await;
+                Readiness::Closed
+            };
             if !watched() {
                 return false;
             }
-            match ready {
-                Ok(ready) if !ready.is_read_closed() => {}
-                Ok(_) | Err(_) => return true,
-            }
-            if room > 0 && self.read_ahead(room).is_err() {
+            if readiness == Readiness::Closed || self.read_ahead(room).is_err() {
                 return true;
             }
         }
@@ -69,7 +66,7 @@
     fn read_ahead(&self, room: usize) -> io::Result<()> {
         let mut chunk = [0; READ_AHEAD_STEP];
         let step = room.min(READ_AHEAD_STEP);
-        match self.shared.stream.try_read(&mut chunk[..step]) {
+        match self.shared.stream.try_receive(&mut chunk[..step]) {
             Ok(0) => Err(io::ErrorKind::UnexpectedEof.into()),
             Ok(read) => {
                 self.ahead().extend_from_slice(&chunk[..read]);
@@ -83,11 +80,7 @@
     /// Whether bytes wait that the server has not been given. Asks the kernel itself, whose events may not have been
     /// taken in yet.
     pub fn has_unread(&self) -> bool {
-        if !self.ahead().is_empty() {
-            return true;
-        }
-        let mut byte = [MaybeUninit::uninit()];
-        SockRef::from(&self.shared.stream).peek(&mut byte).is_ok_and(|read| read > 0)
+        !self.ahead().is_empty() || self.shared.stream.has_unread()
     }
 
     /// Ends the sending side and waits for the peer to close its own, but no longer than `limit`.
@@ -96,18 +89,9 @@
     /// not read. What arrives meanwhile stays unread: it was sent to a connection that had already been closed, and its
     /// sender may safely send it again.
     pub async fn close(self, limit: Duration) {
-        if SockRef::from(&self.shared.stream).shutdown(std::net::Shutdown::Write).is_err() {
-            return;
+        if self.shared.stream.end_sending().is_ok() {
+            let _ = timeout(limit, self.shared.stream.closed()).await;
         }
-        let closed = async {
-            loop {
-                match self.shared.stream.ready(Interest::PRIORITY).await {
-                    Ok(ready) if !ready.is_read_closed() => {}
-                    Ok(_) | Err(_) => return,
-                }
-            }
-        };
-        let _ = timeout(limit, closed).await;
     }
 
     /// Held for moments only, never over a wait.
@@ -131,17 +115,7 @@
                 return Poll::Ready(Ok(()));
             }
         }
-        loop {
-            ready!(self.shared.stream.poll_read_ready(context))?;
-            match self.shared.stream.try_read(buffer.initialize_unfilled()) {
-                Ok(read) => {
-                    buffer.advance(read);
-                    return Poll::Ready(Ok(()));
-                }
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-                Err(error) => return Poll::Ready(Err(error)),
-            }
-        }
+        self.shared.stream.poll_receive_into(context, buffer)
     }
 }
 
@@ -155,13 +129,7 @@
         context: &mut Context<'_>,
         slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        loop {
-            ready!(self.shared.stream.poll_write_ready(context))?;
-            match self.shared.stream.try_write_vectored(slices) {
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-                written => return Poll::Ready(written),
-            }
-        }
+        self.shared.stream.poll_send(context, slices)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -173,10 +141,6 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        match SockRef::from(&self.shared.stream).shutdown(std::net::Shutdown::Write) {
-            // The peer was faster.
-            Err(error) if error.kind() != io::ErrorKind::NotConnected => Poll::Ready(Err(error)),
-            _ => Poll::Ready(Ok(())),
-        }
+        Poll::Ready(self.shared.stream.end_sending())
     }
 }
--- a/crates/node/src/rosters/discovery.rs
+++ b/crates/node/src/rosters/discovery.rs
@@ -15,7 +15,6 @@
 use hyper::{Request, StatusCode, header};
 use hyper_util::rt::TokioIo;
 use listclock::{Clock, Command, ListEvent, Millis, Pace, Rules};
-use tokio::net::TcpStream;
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
@@ -24,10 +23,12 @@
 use crate::log;
 use crate::rosters::host_list::HostList;
 use crate::rosters::values::Values;
-use crate::socket::SystemCalls;
+use crate::socket::{self, ConnectError, Stream, SystemCalls};
 
-/// Where no descriptor is left for a call, the next try comes so much later.
-const DESCRIPTOR_RETRY: Duration = Duration::from_millis(100);
+/// Where this machine cannot open a connection, the next try comes so much later...
+const FIRST_CONNECT_RETRY: Duration = Duration::from_millis(5);
+/// ...then twice as much each time, up to this.
+const LAST_CONNECT_RETRY: Duration = Duration::from_millis(100);
 
 /// Discovery at an address.
 pub struct Source {
@@ -53,11 +54,24 @@
         before.iter().for_each(Following::retire);
         let rules = Rules { must_ask_in: self.must_ask_in, can_fall_silent: true };
         let (address, news, seed) = (self.address, self.news.clone(), self.seed);
+        let system_calls = self.system_calls.clone();
         Following::by(move |retired| {
             let clock = Clock::new(rules, start, seed, 0.0);
             let pace = news.pace();
             let epoch = Instant::now();
-            Watch { address, version: from, news, clock, epoch, retired, before, pace, reach: None }.keep()
+            let watch = Watch {
+                address,
+                system_calls,
+                version: from,
+                news,
+                clock,
+                epoch,
+                retired,
+                before,
+                pace,
+                reach: None,
+            };
+            watch.keep()
         })
     }
 }
@@ -65,6 +79,7 @@
 /// Where a watch starts from and what it tells.
 struct Watch {
     address: SocketAddr,
+    system_calls: Arc<dyn SystemCalls>,
     /// The version that the sidecar has, 0 if the whole list is wanted. What a watch that ends has not told comes after
     /// it, so that the next one tells it.
     version: u64,
@@ -92,17 +107,22 @@
     std::future::pending().await
 }
 
-/// Connects, and waits for a descriptor where none is left: that is no fault of discovery's. Whoever calls this bounds
-/// how long.
-async fn connect(address: SocketAddr) -> std::io::Result<TcpStream> {
-    let mut is_told = false;
+/// Connects, and tries again where it is this machine that cannot: that is no fault of discovery's. Whoever calls this
+/// bounds how long.
+async fn connect(
+    system_calls: &Arc<dyn SystemCalls>,
+    address: SocketAddr,
+) -> std::result::Result<Stream, ConnectError> {
+    let mut retry = FIRST_CONNECT_RETRY;
     loop {
-        match TcpStream::connect(address).await {
-            Err(error) if is_out_of_descriptors(&error) => {
-                if !std::mem::replace(&mut is_told, true) {
-                    log::line(format!("discovery: waiting for a descriptor: {error}"));
+        match socket::connect(system_calls, address).await {
+            Err(error) if error.is_local() => {
+                if retry == FIRST_CONNECT_RETRY {
+                    let lacking = if is_out_of_descriptors(&error) { "a descriptor" } else { "a connection" };
+                    log::line(format!("discovery: waiting for {lacking}: {error}"));
                 }
-                sleep(DESCRIPTOR_RETRY).await;
+                sleep(retry).await;
+                retry = LAST_CONNECT_RETRY.min(retry * 2);
             }
             result => return result,
         }
@@ -110,10 +130,9 @@
 }
 
 /// Whether the process (EMFILE) or the system (ENFILE) can open no more files.
-fn is_out_of_descriptors(error: &std::io::Error) -> bool {
-    const ENFILE: i32 = 23;
-    const EMFILE: i32 = 24;
-    matches!(error.raw_os_error(), Some(ENFILE | EMFILE))
+fn is_out_of_descriptors(error: &ConnectError) -> bool {
+    let ConnectError::Local(error) = error else { return false };
+    matches!(error.raw_os_error(), Some(libc::ENFILE | libc::EMFILE))
 }
 
 impl Watch {
@@ -169,7 +188,8 @@
 
     async fn once(&mut self) -> Result<Infallible> {
         const LATE: &str = "no answer in time";
-        let stream = self.within(LATE, connect(self.address)).await?.context("cannot connect")?;
+        let system_calls = self.system_calls.clone();
+        let stream = self.within(LATE, connect(&system_calls, self.address)).await??;
         let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         // It ends with this call.
         let mut tasks = JoinSet::new();
--- a/crates/node/src/socket/system_calls.rs
+++ b/crates/node/src/socket/system_calls.rs
@@ -6,6 +6,7 @@
 use std::fmt::Debug;
 use std::io::{self, IoSlice, Read};
 use std::mem::MaybeUninit;
+use std::net::Shutdown;
 
 use socket2::{Domain, Protocol, SockAddr, Socket, Type};
 
@@ -55,6 +56,11 @@
             slices => socket.send_vectored(slices),
         }
     }
+
+    /// Ends a side of a connection.
+    fn shutdown(&self, socket: &Socket, how: Shutdown) -> io::Result<()> {
+        socket.shutdown(how)
+    }
 }
 
 /// The system calls of the kernel, as they are.
--- a/crates/node/src/transports/http1/connection.rs
+++ b/crates/node/src/transports/http1/connection.rs
@@ -8,13 +8,12 @@
 use http_body_util::Full;
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
-use tokio::net::TcpStream;
 use tokio::sync::{OwnedSemaphorePermit, oneshot};
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, timeout, timeout_at};
 
 use super::stream::{GuardedStream, StreamState};
-use crate::socket::SystemCalls;
+use crate::socket::{ConnectError, SystemCalls, connect};
 
 /// Room for a head; hyper also reads bodies through it.
 const BUFFER_BYTES: usize = 32 << 10;
@@ -42,17 +41,15 @@
 impl Connection {
     /// Connects by `until`.
     pub async fn open(
-        _system_calls: &Arc<dyn SystemCalls>,
+        system_calls: &Arc<dyn SystemCalls>,
         dial: SocketAddr,
         until: Instant,
         permit: OwnedSemaphorePermit,
     ) -> Result<Connection, String> {
-        let socket = timeout_at(until, TcpStream::connect(dial))
+        let socket = timeout_at(until, connect(system_calls, dial))
             .await
-            .map_err(|_| "connecting took too long".to_owned())?
-            .map_err(|error| format!("cannot connect: {error}"))?;
-        // Without it the kernel may hold back a small request.
-        socket.set_nodelay(true).map_err(|error| error.to_string())?;
+            .map_err(|_| ConnectError::TimedOut.to_string())?
+            .map_err(|error| error.to_string())?;
         let (guarded, stream) = GuardedStream::new(socket);
         let (sender, connection) = http1::Builder::new()
             .max_buf_size(BUFFER_BYTES)
--- a/crates/node/src/transports/http1/stream.rs
+++ b/crates/node/src/transports/http1/stream.rs
@@ -5,15 +5,14 @@
 //! no gap between the decision and the first byte.
 
 use std::io::{self, ErrorKind, IoSlice};
-use std::mem::MaybeUninit;
 use std::pin::Pin;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::task::{Context, Poll};
 
-use socket2::SockRef;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
-use tokio::net::TcpStream;
+
+use crate::socket::Stream;
 
 /// Why a write was not made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -76,14 +75,14 @@
     }
 
     /// Decides on a write that is about to be made to this socket.
-    fn check(&self, socket: &TcpStream) -> io::Result<()> {
+    fn check(&self, socket: &Stream) -> io::Result<()> {
         self.decide(socket).map_err(|reason| {
             lock(&self.withheld).get_or_insert(reason);
             io::Error::new(ErrorKind::ConnectionAborted, "the write was withheld")
         })
     }
 
-    fn decide(&self, socket: &TcpStream) -> Result<(), Withheld> {
+    fn decide(&self, socket: &Stream) -> Result<(), Withheld> {
         let mut exchange = lock(&self.exchange);
         let Some(Exchange { rules, begun }) = exchange.as_mut() else { return Err(Withheld::NoExchange) };
         if *begun {
@@ -111,29 +110,25 @@
 
 /// Checks that neither bytes nor an end wait in the socket.
 ///
-/// It reads past tokio, which believes that a socket is empty until the next turn of its driver says otherwise. A
-/// byte that it takes is missed by nobody: a connection with such a byte is closed.
-fn check_quiet(socket: &TcpStream) -> Result<(), Withheld> {
-    loop {
-        match SockRef::from(socket).recv(&mut [MaybeUninit::uninit()]) {
-            Ok(0) => return Err(Withheld::Closed),
-            Ok(_) => return Err(Withheld::UnexpectedBytes),
-            Err(error) if error.kind() == ErrorKind::Interrupted => {}
-            Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(()),
-            Err(_) => return Err(Withheld::Closed),
-        }
+/// It reads past the runtime. A byte that it takes is missed by nobody: a connection with such a byte is closed.
+fn check_quiet(socket: &Stream) -> Result<(), Withheld> {
+    match socket.receive_now(&mut [0]) {
+        Ok(0) => Err(Withheld::Closed),
+        Ok(_) => Err(Withheld::UnexpectedBytes),
+        Err(error) if error.kind() == ErrorKind::WouldBlock => Ok(()),
+        Err(_) => Err(Withheld::Closed),
     }
 }
 
 /// A stream that counts its writes and asks before each.
 pub struct GuardedStream {
-    socket: TcpStream,
+    socket: Stream,
     state: Arc<StreamState>,
 }
 
 impl GuardedStream {
     /// Guards a socket that nothing was written to yet.
-    pub fn new(socket: TcpStream) -> (GuardedStream, Arc<StreamState>) {
+    pub fn new(socket: Stream) -> (GuardedStream, Arc<StreamState>) {
         let state = Arc::new(StreamState::default());
         (GuardedStream { socket, state: state.clone() }, state)
     }
@@ -141,7 +136,7 @@
     /// Makes a write if it may be made, and counts it.
     fn write(
         &mut self,
-        write: impl FnOnce(Pin<&mut TcpStream>) -> Poll<io::Result<usize>>,
+        write: impl FnOnce(Pin<&mut Stream>) -> Poll<io::Result<usize>>,
     ) -> Poll<io::Result<usize>> {
         if let Err(error) = self.state.check(&self.socket) {
             return Poll::Ready(Err(error));
--- a/crates/node/tests/seams.rs
+++ b/crates/node/tests/seams.rs
@@ -42,6 +42,14 @@
     );
 }
 
+#[test]
+fn sockets_know_nothing_of_those_who_use_them() {
+    forbids(
+        "socket",
+        &["engine", "fronts", "transports", "rosters", "peers", "replay", "config", "figures", "capture"],
+    );
+}
+
 #[test]
 fn the_engine_knows_nothing_of_what_lies_behind_its_seams() {
     forbids("engine", &["fronts", "transports", "rosters", "peers", "replay", "config", "figures"]);
