--- a/crates/harelock/tests/sidecar.rs
+++ b/crates/harelock/tests/sidecar.rs
@@ -450,7 +450,7 @@
     sidecar.wait_up();
     let mut clients: Vec<Client> = (0..60).map(|_| Client::to(sidecar.address)).collect();
     until("accepting fails", || {
-        sidecar.log.lock().unwrap().iter().any(|line| line.contains("cannot accept"))
+        sidecar.log.lock().unwrap().iter().any(|line| line.contains("system_call_failed call=accept"))
     });
     clients.drain(..50);
     until("it serves again", || {
