--- a/crates/node/src/fronts/http/connection.rs
+++ b/crates/node/src/fronts/http/connection.rs
@@ -224,8 +224,8 @@
             }
             in_flight.answered(response.status().as_u16());
         }
-        let has_more = self.has_more(body);
-        if self.is_last(&open) && !has_more {
+        let pipelined = self.pipelined(body);
+        if self.is_last(&open) && !pipelined && !self.socket.has_unread() {
             response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         Ok(response)
@@ -238,8 +238,8 @@
         is_ending || (open.is_first && *self.scarce.borrow())
     }
 
-    /// Whether the client may have sent more than the request that ends here, with a body of so many bytes.
-    fn has_more(&self, body: Option<u64>) -> bool {
+    /// Whether more was received than the request that ends here, with a body of so many bytes.
+    fn pipelined(&self, body: Option<u64>) -> bool {
         let mut framing = self.framing.lock().unwrap_or_else(PoisonError::into_inner);
         let was_pipelined = framing.is_pipelined();
         let pipelined = framing.end_of_request(body);
@@ -248,7 +248,7 @@
         if pipelined && !was_pipelined && body.is_some() {
             self.activity.has_begun_behind();
         }
-        pipelined || self.socket.has_unread()
+        pipelined
     }
 }
 
--- a/crates/node/src/transports/http1/connection.rs
+++ b/crates/node/src/transports/http1/connection.rs
@@ -9,14 +9,13 @@
 use http_body_util::Full;
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
-use tokio::net::TcpStream;
 use tokio::sync::{OwnedSemaphorePermit, oneshot};
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, timeout, timeout_at};
 
 use super::pool::REST;
 use super::stream::{GuardedStream, StreamState};
-use crate::socket::{ConnectError, SystemCalls};
+use crate::socket::{ConnectError, SystemCalls, connect};
 
 /// Room for a head; hyper also reads bodies through it.
 const BUFFER_BYTES: usize = 32 << 10;
@@ -44,12 +43,13 @@
 impl Connection {
     /// Connects by `until`.
     pub async fn open(
-        _system_calls: &Arc<dyn SystemCalls>,
+        system_calls: &Arc<dyn SystemCalls>,
         dial: SocketAddr,
         until: Instant,
         permit: OwnedSemaphorePermit,
     ) -> Result<Connection, ConnectError> {
-        let socket = open_socket(dial, until).await?;
+        let connected = timeout_at(until, connect(system_calls, dial)).await;
+        let socket = connected.map_err(|_| ConnectError::TimedOut)??;
         let (guarded, stream) = GuardedStream::new(socket);
         let (sender, connection) = http1::Builder::new()
             .max_buf_size(BUFFER_BYTES)
@@ -91,12 +91,3 @@
         Some(self)
     }
 }
-
-/// Opens a socket to an upstream by `until`.
-async fn open_socket(dial: SocketAddr, until: Instant) -> Result<TcpStream, ConnectError> {
-    let connected = timeout_at(until, TcpStream::connect(dial)).await;
-    let socket = connected.map_err(|_| ConnectError::TimedOut)?.map_err(ConnectError::from_system_call)?;
-    // Without it the kernel may hold back a small request.
-    socket.set_nodelay(true).map_err(ConnectError::from_system_call)?;
-    Ok(socket)
-}
