--- a/crates/harelock/src/main.rs
+++ b/crates/harelock/src/main.rs
@@ -21,7 +21,7 @@
 use tracing::{error, info};
 
 use node::config::Config;
-use node::engine::{Engine, Names, News, Orders, Surroundings, Ways};
+use node::engine::{Engine, Names, News, Orders, Surroundings, WallClock, Ways};
 use node::figures::Figures;
 use node::fronts::Phase;
 use node::fronts::address_lists::AddressLists;
@@ -161,7 +161,8 @@
     let rules = fleet::rules(&operator, &facts, &platform, &table)?;
     let at_start = AtStart { peers: operator.peers.clone(), acts: parts.is_some() };
     let fleet = operator.blame(parts.map(|parts| parts.open(&config, &orders, rules)).transpose())?;
-    let surroundings = Surroundings { intake, inbox, transport, roster, fleet };
+    let wall_clock = WallClock::read();
+    let surroundings = Surroundings { intake, inbox, transport, roster, fleet, wall_clock };
     let asked = Arc::new(Notify::new());
     let reread = Reread { orders: orders.clone(), news, operator: file, platform, facts, at_start };
     tokio::spawn(reread.run(asked.clone()));
--- a/crates/node/src/engine/company.rs
+++ b/crates/node/src/engine/company.rs
@@ -224,7 +224,8 @@
         let Told { host, dial, zone, kind, cell, standing, weight, started_ms } = told.clone();
         let serving = standing == Standing::Serving;
         let entry = Entry { host, dial, zone, kind, cell, serving, weight, started_ms };
-        let listing = self.update(&entry);
+        let basis = self.basis_by_peer(&entry);
+        let listing = self.update(&entry, basis);
         self.tell_company(Input::Applied(vec![(listing.upstream, told)]));
         self.event(Event::Listed(ListNews::Changed(vec![listing])));
     }
--- a/crates/node/src/engine/list.rs
+++ b/crates/node/src/engine/list.rs
@@ -7,6 +7,7 @@
 use tokio::time::Instant;
 
 use super::roster::{Entry, List};
+use super::server_age::{Basis, Reading, is_revised, serving_weight};
 use super::transport::Peer;
 use super::{Engine, Server};
 
@@ -18,7 +19,8 @@
     pub(super) fn listed(&mut self, list: List, restored: bool) {
         self.resume_from = list.resume_from;
         let whole = list.whole || restored;
-        let mut listings: Vec<Listing> = list.entries.iter().map(|entry| self.update(entry)).collect();
+        let basis = self.basis_of(&list, restored);
+        let mut listings: Vec<Listing> = list.entries.iter().map(|entry| self.update(entry, basis)).collect();
         listings.extend(list.leaving.iter().filter_map(|name| self.leave_server(name)));
         if whole {
             // An entry that cannot be read is not missing: what was known of its host stands.
@@ -54,8 +56,37 @@
         }));
     }
 
+    /// What is known of when the servers of a list started.
+    fn basis_of(&mut self, list: &List, restored: bool) -> Basis {
+        let now = self.millis(Instant::now());
+        if restored {
+            return self.ages.restored(now, &list.entries);
+        }
+        if let Some(clock) = list.source_clock {
+            let (asked_at, answered_at) = (self.millis(clock.asked_at), self.millis(clock.answered_at));
+            self.ages.read(Reading { unix_ms: clock.unix_ms, asked_at, answered_at });
+        }
+        let serving = if list.whole { serving_weight(&list.entries) } else { self.serving_weight() };
+        let heard_before = list.heard_before.map(|at| self.millis(at));
+        self.ages.listed(now, &list.entries, heard_before, serving)
+    }
+
+    /// The same for an entry that another member told of.
+    pub(super) fn basis_by_peer(&mut self, entry: &Entry) -> Basis {
+        let now = self.millis(Instant::now());
+        let serving = self.serving_weight();
+        self.ages.told_by_peer(now, entry, serving)
+    }
+
+    /// The weight of all servers that serve.
+    fn serving_weight(&self) -> f64 {
+        let listings = self.servers.values().map(|server| &server.listing);
+        let serving = listings.filter(|listing| listing.lifecycle == Lifecycle::Serving);
+        serving.map(|listing| listing.weight.max(0.0)).sum()
+    }
+
     /// Takes in what the roster says of one upstream, in the module's terms.
-    pub(super) fn update(&mut self, entry: &Entry) -> Listing {
+    pub(super) fn update(&mut self, entry: &Entry, basis: Basis) -> Listing {
         let id = match self.names.get(&entry.host) {
             Some(id) => *id,
             None => {
@@ -64,13 +95,7 @@
                 UpstreamId(self.next_upstream)
             }
         };
-        let known = self.servers.get(&id).filter(|server| server.started_ms == entry.started_ms);
-        // A start in the future, by another machine's clock, is one just now.
-        let started = match known {
-            Some(server) => server.listing.started,
-            None => (entry.started_ms > 0.0)
-                .then(|| (entry.started_ms - self.epoch_unix_ms).min(self.millis(Instant::now()))),
-        };
+        let started = self.started(id, entry.started_ms, basis);
         let listing = Listing {
             upstream: id,
             zone: ZoneId(self.settings.zone_named(&entry.zone)),
@@ -99,6 +124,18 @@
         listing
     }
 
+    /// When a server started, on the module's clock. What was judged before stands, unless a first list shows better.
+    fn started(&mut self, id: UpstreamId, started_ms: f64, basis: Basis) -> Option<Millis> {
+        let known = self.servers.get(&id).filter(|server| server.started_ms == started_ms);
+        let before = known.map(|server| server.listing.started);
+        if let (Some(before), Basis::Told { .. } | Basis::AfterSilence { .. }) = (before, basis) {
+            return before;
+        }
+        let now = self.millis(Instant::now());
+        let judged = self.ages.started(now, started_ms, basis);
+        before.filter(|before| !is_revised(*before, judged)).unwrap_or(judged)
+    }
+
     /// Takes in that an upstream wants nothing new; `None` for one that is not known.
     fn leave_server(&mut self, name: &str) -> Option<Listing> {
         let id = *self.names.get(name)?;
--- a/crates/node/src/engine/mod.rs
+++ b/crates/node/src/engine/mod.rs
@@ -12,7 +12,9 @@
 mod members;
 mod message;
 mod roster;
+mod server_age;
 mod transport;
+mod wall_clock;
 mod ways;
 
 #[cfg(test)]
@@ -42,14 +44,16 @@
 use company::Acting;
 use counters::Counters;
 use intake::Arrival;
+use server_age::ServerAges;
 
 pub use company::{Fleet, Standings};
 pub use intake::{Asked, Intake, Names};
 pub use key_window::{KeyWindow, WindowClosed};
 pub use members::{Datagram, Losses, Mailbox, Members};
 pub use message::{Answer, BODY_BYTES, End, Final, Forward, end_to_end};
-pub use roster::{Entry, Following, List, News, Roster, Start};
+pub use roster::{ClockReading, Entry, Following, List, News, Roster, Start};
 pub use transport::{Attempt, Counts, Flight, Gate, Interest, Pass, Peer, Reports, Transport};
+pub use wall_clock::WallClock;
 #[cfg(test)]
 pub(crate) use ways::Seen;
 pub use ways::{Inbox, Orders, Ways};
@@ -162,8 +166,8 @@
     resume_from: u64,
     following: Option<Following>,
     epoch: Instant,
-    /// Unix time at the epoch, in milliseconds.
-    epoch_unix_ms: f64,
+    /// How old servers are, by what discovery tells.
+    ages: ServerAges,
     open: HashMap<RequestId, Open>,
     sent: BTreeMap<(RequestId, AttemptNo), Sent>,
     names: HashMap<String, UpstreamId>,
@@ -190,6 +194,8 @@
     pub roster: Box<dyn Roster>,
     /// What it acts with a fleet by, if it does.
     pub fleet: Option<Fleet>,
+    /// The machine's wall clock, which is not read again.
+    pub wall_clock: WallClock,
 }
 
 impl Engine {
@@ -201,8 +207,8 @@
         surroundings: Surroundings,
         capture: Option<&CaptureSettings>,
     ) -> Result<Engine> {
-        let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-        let epoch_unix_ms = unix.map_or(0.0, |since| since.as_secs_f64() * 1e3);
+        let epoch = Instant::now();
+        let epoch_unix_ms = surroundings.wall_clock.unix_ms_at(epoch);
         let (told, routing) = module_settings(&settings, table);
         let setup = |told| concert::Setup {
             peers: None,
@@ -217,8 +223,9 @@
         let classes = || routing.names().to_vec();
         let capture =
             capture.map(|capture| Capture::start(capture, classes(), seed, epoch_unix_ms)).transpose()?;
-        let Surroundings { intake, inbox, transport, roster, fleet } = surroundings;
+        let Surroundings { intake, inbox, transport, roster, fleet, wall_clock: _ } = surroundings;
         let acting = fleet.map(|fleet| Acting::start(fleet, setup(&told))).transpose().context("peers")?;
+        let ages = ServerAges::new(epoch_unix_ms, told.safety.warm_up);
         Ok(Engine {
             module: Balancer::new(told, seed),
             columns: settings.columns(),
@@ -229,8 +236,8 @@
             roster,
             resume_from: 0,
             following: None,
-            epoch: Instant::now(),
-            epoch_unix_ms,
+            epoch,
+            ages,
             open: HashMap::new(),
             sent: BTreeMap::new(),
             names: HashMap::new(),
--- a/crates/node/src/engine/roster.rs
+++ b/crates/node/src/engine/roster.rs
@@ -8,6 +8,7 @@
 use listclock::Pace;
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinHandle;
+use tokio::time::Instant;
 
 use super::Happening;
 
@@ -27,6 +28,21 @@
     pub unread: Vec<String>,
     /// Names of upstreams of which no more could be read than that they want nothing new.
     pub leaving: Vec<String>,
+    /// When the source was heard last before this list came; nothing where this is the first that it told.
+    pub heard_before: Option<Instant>,
+    /// What the source's clock showed, where it said so with this list.
+    pub source_clock: Option<ClockReading>,
+}
+
+/// What a source's clock showed at an instant between two of ours. It is cut to whole seconds.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct ClockReading {
+    /// In Unix milliseconds.
+    pub unix_ms: f64,
+    /// When the source was asked: it was not read before.
+    pub asked_at: Instant,
+    /// When the answer had come: it was not read after.
+    pub answered_at: Instant,
 }
 
 /// An upstream as a roster tells it. Its figures are finite.
--- a/crates/node/src/engine/tests.rs
+++ b/crates/node/src/engine/tests.rs
@@ -61,6 +61,7 @@
         transport: Box::new(transport.clone()),
         roster: Box::new(SilentRoster),
         fleet: None,
+        wall_clock: WallClock::read(),
     };
     let mut engine = Engine::new(settings, 1, Table::default(), surroundings, None).expect("an engine");
     let entry = Entry {
--- a/crates/node/src/rosters/discovery.rs
+++ b/crates/node/src/rosters/discovery.rs
@@ -20,9 +20,10 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
-use crate::engine::{Following, News, Roster, Start};
+use crate::engine::{ClockReading, Following, List, News, Roster, Start};
 use crate::log;
 use crate::rosters::host_list::HostList;
+use crate::rosters::source_clock::clock_reading;
 use crate::rosters::values::Values;
 
 /// Where no descriptor is left for a call, the next try comes so much later.
@@ -54,7 +55,9 @@
             let clock = Clock::new(rules, start, seed, 0.0);
             let pace = news.pace();
             let epoch = Instant::now();
-            Watch { address, version: from, news, clock, epoch, retired, before, pace, reach: None }.keep()
+            let heard_at = None;
+            Watch { address, version: from, news, clock, epoch, retired, before, pace, reach: None, heard_at }
+                .keep()
         })
     }
 }
@@ -77,6 +80,8 @@
     pace: Option<watch::Receiver<Pace>>,
     /// Whether discovery answers, as it was told last.
     reach: Option<Reach>,
+    /// When it said last, by a list or by an empty line behind one, how its list stands.
+    heard_at: Option<Instant>,
 }
 
 /// The next change of the pace; never where no fleet decides on it.
@@ -174,12 +179,16 @@
         let request = Request::get(format!("/discovery/hosts?watch=1&from={}", self.version))
             .header(header::HOST, self.address.to_string())
             .body(Empty::<Bytes>::new())?;
+        let asked_at = Instant::now();
         let response = self.within(LATE, sender.send_request(request)).await??;
         if response.status() != StatusCode::OK {
             bail!("answered {}", response.status());
         }
         self.clock.observe(self.millis(), ListEvent::Answered);
         self.reach(Reach::Up);
+        // It is told once, with the watch's first list.
+        let mut source_clock = clock_reading(response.headers(), asked_at);
+        let mut has_told = false;
         let mut body = response.into_body();
         let mut values = Values::default();
         loop {
@@ -197,7 +206,13 @@
                 // An empty line between lists. Other space there says nothing.
                 self.clock.observe(now, ListEvent::KeepAlive);
             }
-            lists.iter().try_for_each(|list| self.tell(list))?;
+            for list in &lists {
+                self.tell(list, source_clock.take())?;
+                has_told = true;
+            }
+            if has_told && !values.is_inside() {
+                self.heard_at = Some(Instant::now());
+            }
         }
     }
 
@@ -208,14 +223,14 @@
         }
     }
 
-    fn tell(&mut self, list: &HostList) -> Result<()> {
+    fn tell(&mut self, list: &HostList, source_clock: Option<ClockReading>) -> Result<()> {
         // A discovery that has lost its memory counts anew: its whole list holds. Changes before what is held are
         // changes of something else.
         if list.seq < self.version && !list.whole {
             let held = std::mem::take(&mut self.version);
             bail!("changes up to {} came after {held}", list.seq);
         }
-        let list = list.list();
+        let list = List { heard_before: self.heard_at, source_clock, ..list.list() };
         self.version = list.resume_from;
         self.before = None;
         if !self.news.listed(list) {
--- a/crates/node/src/rosters/mod.rs
+++ b/crates/node/src/rosters/mod.rs
@@ -2,4 +2,5 @@
 
 pub mod discovery;
 pub mod host_list;
+mod source_clock;
 mod values;
