--- a/crates/node/src/rosters/discovery.rs
+++ b/crates/node/src/rosters/discovery.rs
@@ -19,9 +19,10 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
-use crate::engine::{Following, News, Roster, Start};
+use crate::engine::{ClockReading, Following, List, News, Roster, Start};
 use crate::log;
 use crate::rosters::host_list::HostList;
+use crate::rosters::source_clock::clock_reading;
 use crate::rosters::values::Values;
 use crate::socket::{self, ConnectError, Stream, SystemCalls};
 
@@ -70,6 +71,7 @@
                 before,
                 pace,
                 reach: None,
+                heard_at: None,
             };
             watch.keep()
         })
@@ -95,6 +97,8 @@
     pace: Option<watch::Receiver<Pace>>,
     /// Whether discovery answers, as it was told last.
     reach: Option<Reach>,
+    /// When it said last, by a list or by an empty line behind one, how its list stands.
+    heard_at: Option<Instant>,
 }
 
 /// The next change of the pace; never where no fleet decides on it.
@@ -197,12 +201,16 @@
         let request = Request::get(format!("/discovery/hosts?watch=1&from={}", self.version))
             .header(header::HOST, self.address.to_string())
             .body(Empty::<Bytes>::new())?;
+        let asked_at = Instant::now();
         let response = self.within(LATE, sender.send_request(request)).await??;
         if response.status() != StatusCode::OK {
             bail!("answered {}", response.status());
         }
         self.clock.observe(self.millis(), ListEvent::Answered);
         self.reach(Reach::Up);
+        // It is told once, with the watch's first list.
+        let mut source_clock = clock_reading(response.headers(), asked_at);
+        let mut has_told = false;
         let mut body = response.into_body();
         let mut values = Values::default();
         loop {
@@ -220,7 +228,13 @@
                 // An empty line between lists. Other space there says nothing.
                 self.clock.observe(now, ListEvent::KeepAlive);
             }
-            lists.iter().try_for_each(|list| self.tell(list))?;
+            for list in &lists {
+                self.tell(list, source_clock.take())?;
+                has_told = true;
+            }
+            if has_told && !values.is_inside() {
+                self.heard_at = Some(Instant::now());
+            }
         }
     }
 
@@ -231,14 +245,14 @@
         }
     }
 
-    fn tell(&mut self, list: &HostList) -> Result<()> {
+    fn tell(&mut self, list: &HostList, source_clock: Option<ClockReading>) -> Result<()> {
         // A discovery that has lost its memory counts anew: its whole list holds. Changes before what is held are
         // changes of something else.
         if list.seq < self.version && !list.whole {
             let held = std::mem::take(&mut self.version);
             bail!("changes up to {} came after {held}", list.seq);
         }
-        let list = list.list();
+        let list = List { heard_before: self.heard_at, source_clock, ..list.list() };
         self.version = list.resume_from;
         self.before = None;
         if !self.news.listed(list) {
