--- a/crates/harelock/tests/capture.rs
+++ b/crates/harelock/tests/capture.rs
@@ -114,6 +114,7 @@
     let (status, lines, said) = replay(&sidecar.path, &captures);
     assert_eq!((status, lines), (Some(0), vec![]), "{said}");
     assert!(said.contains("the last line is cut"), "{said}");
+    assert!(said.contains("1 lines unread"), "{said}");
     // What cannot be replayed is not taken for a replay without differences.
     assert_eq!(replay(&sidecar.path, &[file("")]).0, Some(2));
     assert_eq!(replay(&sidecar.path, &[folder.join("nowhere")]).0, Some(2));
--- a/crates/harelock/tests/figures.rs
+++ b/crates/harelock/tests/figures.rs
@@ -5,6 +5,8 @@
 use std::collections::BTreeMap;
 use std::io::BufRead;
 use std::net::UdpSocket;
+use std::path::Path;
+use std::process::Command;
 use std::sync::mpsc;
 
 use loopback::*;
@@ -195,3 +197,57 @@
     child.kill().unwrap();
     child.wait().unwrap();
 }
+
+/// The counter of requests for this class in a file of figures.
+fn counted(path: &Path, class: &str) -> u64 {
+    let mut told = Told::default();
+    std::fs::read_to_string(path).unwrap_or_default().lines().for_each(|line| told.line(line));
+    told.requests().get(format!("class:{class},outcome:200").as_str()).copied().unwrap_or_default()
+}
+
+/// A folder that is missing for a while stands for a disk that takes nothing.
+#[test]
+fn a_file_that_fails_for_a_while_gets_lines_again_and_the_log_tells_it_twice() {
+    let upstream = Upstream::new(|_| Deed::ok("served"));
+    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("figures-{}", std::process::id()));
+    let _ = std::fs::remove_dir_all(&folder);
+    let path = folder.join("figures");
+    let operator = format!(r#"{{"figures":{{"stderr":false,"flush_ms":10,"file":"{}"}}}}"#, path.display());
+    let (mut sidecar, _discovery) = Sidecar::with_operator(&[&upstream], &operator);
+    let mut client = Client::to(sidecar.address);
+    (0..5).for_each(|_| assert_eq!(client.ask("fetch").status(), 200));
+    until("the outage is told", || sidecar.has_said(&["figures: ", "lines are dropped"]));
+    std::fs::create_dir(&folder).unwrap();
+    until("its end is told", || sidecar.has_said(&["figures: ", "takes lines again"]));
+    (0..5).for_each(|_| assert_eq!(client.ask("log").status(), 200));
+    until("the file has what came since", || counted(&path, "log") == 5);
+    sidecar.signal("-TERM");
+    assert!(sidecar.wait_exit().success());
+    let told = [sidecar.count(&["lines are dropped"]), sidecar.count(&["takes lines again"])];
+    assert_eq!(told, [1, 1]);
+    assert!(std::fs::read_to_string(&path).unwrap().contains("harelock.figures_dropped:"));
+    std::fs::remove_dir_all(&folder).unwrap();
+}
+
+/// A pipe that no one opens stands for a disk that hangs.
+#[test]
+fn a_file_that_hangs_holds_up_neither_answers_nor_the_end() {
+    let upstream = Upstream::new(|_| Deed::ok("served"));
+    let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("figures-pipe-{}", std::process::id()));
+    let _ = std::fs::remove_file(&path);
+    assert!(Command::new("mkfifo").arg(&path).status().unwrap().success());
+    let operator = format!(
+        r#"{{"figures":{{"stderr":false,"flush_ms":10,"buffer_kb":1,"file":"{}"}}}}"#,
+        path.display()
+    );
+    let (mut sidecar, _discovery) = Sidecar::with_operator(&[&upstream], &operator);
+    let mut client = Client::to(sidecar.address);
+    for _ in 0..200 {
+        assert_eq!(client.ask("fetch").status(), 200);
+    }
+    until("the outage is told", || sidecar.has_said(&["figures: ", "the disk is too slow"]));
+    assert_eq!(client.ask("fetch").status(), 200);
+    sidecar.signal("-TERM");
+    assert!(sidecar.wait_exit().success());
+    std::fs::remove_file(&path).unwrap();
+}
--- a/crates/node/src/capture/files.rs
+++ b/crates/node/src/capture/files.rs
@@ -1,13 +1,15 @@
 //! The captured lines on disk: a thread writes them, and removes the oldest files.
 
-use std::fs::{self, File, OpenOptions};
-use std::io::Write;
+use std::fs;
 use std::path::{Path, PathBuf};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
 use anyhow::{Context, Result};
 use bytes::Bytes;
 
+use crate::line_file::{Appended, Disk, HalfLine, LineFile, Outage, count_lines};
 use crate::log;
 use crate::output::{Output, Share};
 
@@ -26,8 +28,10 @@
     written: usize,
     /// Whether what comes next belongs into the next file.
     due: bool,
-    /// Whether lines were lost since that was last told.
-    losing: bool,
+    /// Lines that had no room while the thread was behind.
+    slow: Outage,
+    /// Lines that the thread could not write, as long as it still cannot.
+    unwritten: Arc<AtomicU64>,
 }
 
 impl Files {
@@ -39,13 +43,15 @@
         segment_bytes: usize,
         epoch_unix_ms: f64,
     ) -> Result<Files> {
-        fs::create_dir_all(folder).with_context(|| format!("capture.folder: {}", folder.display()))?;
-        let mut disk =
-            Disk { folder: folder.to_owned(), run: epoch_unix_ms as u64, number: 0, keep, file: None };
-        disk.next().with_context(|| format!("capture.folder: {}", folder.display()))?;
-        let output = Output::start("capture", move |lines| disk.take(lines)).context("capture.folder")?;
+        let shown = || format!("capture.folder: {}", folder.display());
+        fs::create_dir_all(folder).with_context(shown)?;
+        let unwritten = Arc::new(AtomicU64::new(0));
+        let mut ring = FileRing::begin(folder, keep, epoch_unix_ms as u64, unwritten.clone());
+        ring.file.create().with_context(shown)?;
+        let output = Output::start("capture", move |lines| ring.take(lines)).context("capture.folder")?;
         let share = output.share(WAITING_BYTES);
-        Ok(Files { output, share, file_bytes, segment_bytes, written: 0, due: false, losing: false })
+        let (due, slow) = (false, Outage::default());
+        Ok(Files { output, share, file_bytes, segment_bytes, written: 0, due, slow, unwritten })
     }
 
     /// Appends whole lines. Where the disk is too slow for them they are lost, and the gap shows in their numbers.
@@ -54,12 +60,22 @@
         if self.due && self.share.offer(Bytes::new()) {
             (self.due, self.written) = (false, 0);
         }
-        let took = !self.due && self.share.offer(Bytes::copy_from_slice(lines));
-        self.written += if took { lines.len() } else { 0 };
-        if !took && !self.losing {
+        if !self.due && self.share.offer(Bytes::copy_from_slice(lines)) {
+            self.written += lines.len();
+            self.keeps_up();
+        } else if self.slow.lose(count_lines(lines)) {
             log::line("capture: the disk is too slow; lines are missing from the files");
         }
-        self.losing = !took;
+    }
+
+    /// Tells that lines find room again, once there is room for more than a few.
+    fn keeps_up(&mut self) {
+        if self.slow.is_on()
+            && self.share.free_bytes() >= WAITING_BYTES / 2
+            && let Some(lost) = self.slow.end()
+        {
+            log::line(format!("capture: the disk keeps up again; {lost} lines are missing from the files"));
+        }
     }
 
     /// A segment of this size begins: in a file of its own if this one might not hold it.
@@ -69,49 +85,116 @@
     }
 
     /// Waits until all is written, but no longer than this.
-    pub fn finish(&self, within: Duration) {
-        self.output.flush(within);
+    pub fn finish(&self, within: Duration) -> bool {
+        self.output.flush(within)
+    }
+
+    /// The same at the end, when nobody else will tell what is missing.
+    pub fn close(&self, within: Duration) {
+        if !self.finish(within) {
+            log::line("capture: the disk is too slow; the last lines may be missing from the files");
+        }
+        let lost = self.slow.lost() + self.unwritten.load(Ordering::Relaxed);
+        if lost > 0 {
+            log::line(format!("capture: at the end {lost} lines are missing from the files"));
+        }
     }
 }
 
-/// The thread's side.
-struct Disk {
+/// The thread's side: the files of this run and those of earlier ones.
+struct FileRing {
     folder: PathBuf,
     run: u64,
     number: u32,
     keep: usize,
-    file: Option<File>,
+    file: LineFile,
+    /// Whether the current file holds a line.
+    begun: bool,
+    failing: Outage,
+    unwritten: Arc<AtomicU64>,
 }
 
-impl Disk {
+impl FileRing {
+    fn begin(folder: &Path, keep: usize, run: u64, unwritten: Arc<AtomicU64>) -> FileRing {
+        let path = folder.join(file_name(run, 0));
+        // No other process writes to it.
+        let file = LineFile::new(Box::new(Disk), path, HalfLine::CutOff);
+        let (folder, failing) = (folder.to_owned(), Outage::default());
+        FileRing { folder, run, number: 0, keep, file, begun: false, failing, unwritten }
+    }
+
+    /// Appends lines; none means the next file.
     fn take(&mut self, lines: &[u8]) {
-        let done = match (lines.is_empty(), &mut self.file) {
-            (true, _) => self.next(),
-            (false, Some(file)) => file.write_all(lines).context("cannot write"),
-            // It failed, and was told. The next file may do better.
-            (false, None) => Ok(()),
+        if lines.is_empty() {
+            return self.next();
+        }
+        let appended = self.file.append(lines);
+        // Only now: a file that takes no line is worth no older one that has some.
+        if appended.written > 0 && !self.begun {
+            self.begun = true;
+            self.remove_oldest();
+        }
+        self.tell(appended);
+    }
+
+    /// Goes on with the next file, unless nothing stands in this one.
+    fn next(&mut self) {
+        if self.begun {
+            self.begun = false;
+            self.number += 1;
+            self.file.move_to(self.folder.join(file_name(self.run, self.number)));
+        }
+    }
+
+    /// Tells when lines begin to be lost, and how many were once that is over.
+    fn tell(&mut self, appended: Appended) {
+        let folder = self.folder.display();
+        match appended.error {
+            Some(error) if self.failing.lose(appended.lost) => {
+                log::line(format!("capture: {folder}: {error}; lines are missing"));
+            }
+            Some(_) => {}
+            None => {
+                if let Some(lost) = self.failing.end() {
+                    log::line(format!("capture: {folder}: takes lines again; {lost} are missing"));
+                }
+            }
+        }
+        self.unwritten.store(self.failing.lost(), Ordering::Relaxed);
+    }
+
+    /// Removes what is too much, of earlier runs, too. Files that never got a line count for nothing: starts on a full
+    /// disk leave them.
+    fn remove_oldest(&self) {
+        let names = match self.names() {
+            Ok(names) => names,
+            Err(error) => return log::line(format!("capture: {}: {error}", self.folder.display())),
         };
-        if let Err(error) = done {
-            self.file = None;
-            log::line(format!("capture: {}: {error:#}; lines are missing", self.folder.display()));
+        let (empty, held): (Vec<String>, Vec<String>) =
+            names.into_iter().partition(|name| is_empty(&self.folder.join(name)));
+        let too_many = held.len().saturating_sub(self.keep);
+        for name in empty.iter().chain(held.iter().take(too_many)) {
+            if let Err(error) = fs::remove_file(self.folder.join(name)) {
+                log::line(format!("capture: {}: cannot remove {name}: {error}", self.folder.display()));
+            }
         }
     }
 
-    /// Begins the next file and removes the oldest, of earlier runs, too.
-    fn next(&mut self) -> Result<()> {
-        self.file = None;
-        let name = format!("{PREFIX}{:013}-{:06}{SUFFIX}", self.run, self.number);
-        self.number += 1;
-        let file = OpenOptions::new().append(true).create(true).open(self.folder.join(&name));
-        self.file = Some(file.with_context(|| format!("cannot write {name}"))?);
+    /// The names of all captured files, oldest first.
+    fn names(&self) -> std::io::Result<Vec<String>> {
         let mut names: Vec<String> = fs::read_dir(&self.folder)?
             .filter_map(|entry| entry.ok()?.file_name().into_string().ok())
             .filter(|name| name.starts_with(PREFIX) && name.ends_with(SUFFIX))
             .collect();
         names.sort();
-        for name in names.iter().take(names.len().saturating_sub(self.keep)) {
-            fs::remove_file(self.folder.join(name)).with_context(|| format!("cannot remove {name}"))?;
-        }
-        Ok(())
+        Ok(names)
     }
 }
+
+fn is_empty(path: &Path) -> bool {
+    fs::metadata(path).is_ok_and(|metadata| metadata.is_file() && metadata.len() == 0)
+}
+
+fn file_name(run: u64, number: u32) -> String {
+    format!("{PREFIX}{run:013}-{number:06}{SUFFIX}")
+}
--- a/crates/node/src/capture/mod.rs
+++ b/crates/node/src/capture/mod.rs
@@ -338,7 +338,7 @@
     fn drop(&mut self) {
         self.save();
         if let Some(files) = &self.files {
-            files.finish(LAST_LINES);
+            files.close(LAST_LINES);
         }
     }
 }
@@ -362,5 +362,7 @@
     })
 }
 
+#[cfg(test)]
+mod disk_tests;
 #[cfg(test)]
 pub(crate) mod tests;
--- a/crates/node/src/capture/tests.rs
+++ b/crates/node/src/capture/tests.rs
@@ -154,10 +154,16 @@
 
     /// The same, with all of it written to its files before it ends, however slow the disk is.
     fn run_to_disk(mut self, requests: u64) {
+        self.run_saved(requests);
+    }
+
+    /// So many requests, with all that there is of them handed to the disk.
+    pub fn run_saved(&mut self, requests: u64) {
         for _ in 0..requests.div_ceil(10) {
             self.run(requests.min(10));
             self.capture.save();
-            self.capture.files.iter().for_each(|files| files.finish(Duration::from_secs(30)));
+            let files = self.capture.files.as_ref().expect("files");
+            assert!(files.finish(Duration::from_secs(30)), "all is written");
         }
     }
 
--- a/crates/node/src/figures/mod.rs
+++ b/crates/node/src/figures/mod.rs
@@ -59,11 +59,10 @@
     told: ToldTargets,
 }
 
-/// What each target has been told of drops.
+/// What each target has been told of drops; the file's thread knows that itself.
 #[derive(Default)]
 struct ToldTargets {
     stderr: Told,
-    file: Told,
     udp: Told,
 }
 
@@ -89,7 +88,10 @@
             classes,
             // One flush may wait while the one before is written.
             stderr: settings.stderr.then(|| log::share(2 * limit)).flatten(),
-            file: settings.file.map(|path| FileTarget::start(&path, 2 * limit, &drops)).transpose()?,
+            file: settings
+                .file
+                .map(|path| FileTarget::start(&path, 2 * limit, settings.format, &drops))
+                .transpose()?,
             udp: settings.udp.map(Udp::new),
             fleet,
             drops,
@@ -161,10 +163,12 @@
         let lines = Bytes::from(bytes);
         let told = &mut collected.told;
         if let Some(share) = &self.stderr {
-            self.offer(&lines, count, Place::Stderr, &mut told.stderr, now, |lines| share.offer(lines));
-        }
-        if let Some(file) = self.file.as_ref().filter(|file| file.works()) {
-            self.offer(&lines, count, Place::File, &mut told.file, now, |lines| file.offer(lines));
+            let news = self.drops.news(told.stderr, self.format, now);
+            if share.offer(with(&lines, &news.lines)) {
+                told.stderr = news.told;
+            } else {
+                self.drops.add(Place::Stderr, count);
+            }
         }
         if let Some(udp) = &self.udp {
             let news = self.drops.news(told.udp, self.format, now);
@@ -174,6 +178,11 @@
             }
             self.drops.add(Place::Udp, lost);
         }
+        if let Some(file) = &self.file
+            && !file.offer(lines, count)
+        {
+            self.drops.add(Place::File, count);
+        }
     }
 
     /// Adds the lines on what is counted, and the gauges.
@@ -187,24 +196,6 @@
             self.put(to, &in_flight_line(self.format, class, value, now));
         }
     }
-
-    /// Hands a target so many lines, and those on drops.
-    fn offer(
-        &self,
-        lines: &Bytes,
-        count: u64,
-        place: Place,
-        told: &mut Told,
-        now: u128,
-        offer: impl FnOnce(Bytes) -> bool,
-    ) {
-        let news = self.drops.news(*told, self.format, now);
-        if offer(with(lines, &news.lines)) {
-            *told = news.told;
-        } else {
-            self.drops.add(place, count);
-        }
-    }
 }
 
 fn with(lines: &Bytes, more: &str) -> Bytes {
--- a/crates/node/src/figures/udp.rs
+++ b/crates/node/src/figures/udp.rs
@@ -7,6 +7,7 @@
 
 use tokio::time::timeout;
 
+use crate::line_file::count_lines;
 use crate::operator::Collector;
 
 /// What a datagram may hold without being cut on its way.
@@ -94,10 +95,6 @@
     }
 }
 
-pub(super) fn count_lines(bytes: &[u8]) -> u64 {
-    bytes.iter().filter(|byte| **byte == b'\n').count() as u64
-}
-
 /// The addresses of a name, each round beginning with the next: where one is dead another may listen. Those of
 /// IPv4 come first, since a name for this machine has both and collectors often listen on that alone.
 pub(super) fn in_turn(mut addresses: Vec<SocketAddr>, round: usize) -> impl Iterator<Item = SocketAddr> {
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -10,6 +10,7 @@
 pub mod figures;
 pub mod fronts;
 mod json;
+mod line_file;
 pub mod log;
 pub mod module_settings;
 pub mod operator;
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -17,6 +17,7 @@
 use tracing_subscriber::layer::{Context, Layer, SubscriberExt};
 use tracing_subscriber::registry::LookupSpan;
 
+use super::line_file::LineStream;
 use super::output::{Output, Share};
 
 /// Warnings a second. What a broken peer can cause must not fill the disk that holds the log.
@@ -55,7 +56,8 @@
 
 /// From here on a thread writes the lines, and nothing waits for whoever reads them.
 pub fn start() -> Result<()> {
-    let output = Output::start("log", |bytes| drop(io::stderr().write_all(bytes)))?;
+    let mut stream = LineStream::new(io::stderr(), PREFIX);
+    let output = Output::start("log", move |lines| stream.write(lines))?;
     let share = output.share(WAITING_BYTES);
     // A second start would find the first one's thread at work.
     let _ = OUTPUT.set((output, share));
