--- a/crates/node/src/capture/disk_tests.rs
+++ b/crates/node/src/capture/disk_tests.rs
@@ -3,6 +3,8 @@
 
 use std::os::unix::fs::symlink;
 use std::path::{Path, PathBuf};
+use std::process::Command;
+use std::time::Instant;
 
 use super::tests::{Stage, settings, small};
 use super::*;
@@ -107,3 +109,25 @@
     let kept = [&held[1..], &[folder.path().join(name(0))]].concat();
     assert_eq!(paths(folder.path()), kept);
 }
+
+#[test]
+fn a_disk_that_hangs_holds_up_neither_the_recorder_nor_its_end() {
+    // Given a file that cannot be opened to its end: a pipe that nobody reads
+    let folder = tempfile::tempdir().expect("a folder");
+    let mut stage = Stage::new(&one_large_file(folder.path()), EPOCH_UNIX_MS);
+    stage.run_saved(10);
+    let pipe = folder.path().join(name(0));
+    std::fs::remove_file(&pipe).expect("it can be removed");
+    assert!(Command::new("mkfifo").arg(&pipe).status().expect("mkfifo").success());
+    // When more lines come than may wait
+    let begin = Instant::now();
+    (0..40).for_each(|_| {
+        stage.run(100);
+        stage.capture.save();
+    });
+    let files = stage.capture.files.as_ref().expect("files");
+    assert!(files.missing() > 0 && !files.finish(Duration::from_millis(1)));
+    drop(stage);
+    // Then the recorder went on, and ended
+    assert!(begin.elapsed() < Duration::from_secs(20), "{:?}", begin.elapsed());
+}
--- a/crates/node/src/capture/files.rs
+++ b/crates/node/src/capture/files.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
 use anyhow::{Context, Result};
 use bytes::Bytes;
@@ -62,19 +62,13 @@
         }
         if !self.due && self.share.offer(Bytes::copy_from_slice(lines)) {
             self.written += lines.len();
-            self.keeps_up();
-        } else if self.slow.lose(count_lines(lines)) {
-            log::line("capture: the disk is too slow; lines are missing from the files");
-        }
-    }
-
-    /// Tells that lines find room again, once there is room for more than a few.
-    fn keeps_up(&mut self) {
-        if self.slow.is_on()
-            && self.share.free_bytes() >= WAITING_BYTES / 2
-            && let Some(lost) = self.slow.end()
-        {
-            log::line(format!("capture: the disk keeps up again; {lost} lines are missing from the files"));
+            if let Some(lost) = self.slow.end(Instant::now()) {
+                log::rare(format!(
+                    "capture: the disk keeps up again; {lost} lines are missing from the files"
+                ));
+            }
+        } else if self.slow.lose(count_lines(lines), Instant::now()) {
+            log::rare("capture: the disk is too slow; lines are missing from the files");
         }
     }
 
@@ -89,14 +83,19 @@
         self.output.flush(within)
     }
 
+    /// How many lines the outages that go on have taken so far.
+    pub fn missing(&self) -> u64 {
+        self.slow.lost() + self.unwritten.load(Ordering::Relaxed)
+    }
+
     /// The same at the end, when nobody else will tell what is missing.
     pub fn close(&self, within: Duration) {
         if !self.finish(within) {
-            log::line("capture: the disk is too slow; the last lines may be missing from the files");
+            log::rare("capture: the disk is too slow; the last lines may be missing from the files");
         }
-        let lost = self.slow.lost() + self.unwritten.load(Ordering::Relaxed);
+        let lost = self.missing();
         if lost > 0 {
-            log::line(format!("capture: at the end {lost} lines are missing from the files"));
+            log::rare(format!("capture: at the end {lost} lines are missing from the files"));
         }
     }
 }
@@ -150,13 +149,13 @@
     fn tell(&mut self, appended: Appended) {
         let folder = self.folder.display();
         match appended.error {
-            Some(error) if self.failing.lose(appended.lost) => {
-                log::line(format!("capture: {folder}: {error}; lines are missing"));
+            Some(error) if self.failing.lose(appended.lost, Instant::now()) => {
+                log::rare(format!("capture: {folder}: {error}; lines are missing"));
             }
             Some(_) => {}
             None => {
-                if let Some(lost) = self.failing.end() {
-                    log::line(format!("capture: {folder}: takes lines again; {lost} are missing"));
+                if let Some(lost) = self.failing.end(Instant::now()) {
+                    log::rare(format!("capture: {folder}: takes lines again; {lost} are missing"));
                 }
             }
         }
@@ -168,14 +167,14 @@
     fn remove_oldest(&self) {
         let names = match self.names() {
             Ok(names) => names,
-            Err(error) => return log::line(format!("capture: {}: {error}", self.folder.display())),
+            Err(error) => return log::rare(format!("capture: {}: {error}", self.folder.display())),
         };
         let (empty, held): (Vec<String>, Vec<String>) =
             names.into_iter().partition(|name| is_empty(&self.folder.join(name)));
         let too_many = held.len().saturating_sub(self.keep);
         for name in empty.iter().chain(held.iter().take(too_many)) {
             if let Err(error) = fs::remove_file(self.folder.join(name)) {
-                log::line(format!("capture: {}: cannot remove {name}: {error}", self.folder.display()));
+                log::rare(format!("capture: {}: cannot remove {name}: {error}", self.folder.display()));
             }
         }
     }
--- a/crates/node/src/figures/file.rs
+++ b/crates/node/src/figures/file.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex, PoisonError};
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
 use anyhow::{Context, Result};
 use bytes::Bytes;
@@ -56,16 +56,16 @@
     pub(super) fn offer(&self, lines: Bytes, count: u64) -> bool {
         let mut slow = self.slow.lock().unwrap_or_else(PoisonError::into_inner);
         if self.share.offer(lines) {
-            if let Some(lost) = slow.end() {
-                log::line(format!(
+            if let Some(lost) = slow.end(Instant::now()) {
+                log::rare(format!(
                     "figures: {}: takes lines again; {lost} were dropped",
                     self.path.display()
                 ));
             }
             return true;
         }
-        if slow.lose(count) {
-            log::line(format!("figures: {}: the disk is too slow; lines are dropped", self.path.display()));
+        if slow.lose(count, Instant::now()) {
+            log::rare(format!("figures: {}: the disk is too slow; lines are dropped", self.path.display()));
         }
         false
     }
@@ -84,16 +84,16 @@
         let path = self.path.display();
         let Some(error) = appended.error else {
             self.told = news.told;
-            if let Some(lost) = self.failing.end() {
-                log::line(format!("figures: {path}: takes lines again; {lost} were dropped"));
+            if let Some(lost) = self.failing.end(Instant::now()) {
+                log::rare(format!("figures: {path}: takes lines again; {lost} were dropped"));
             }
             return;
         };
         // Lines on drops stand last, and are no figures to be dropped.
         let lost = count_lines(lines).saturating_sub(appended.written);
         self.drops.add(Place::File, lost);
-        if self.failing.lose(lost) {
-            log::line(format!("figures: {path}: {error}; lines are dropped until it takes them"));
+        if self.failing.lose(lost, Instant::now()) {
+            log::rare(format!("figures: {path}: {error}; lines are dropped until it takes them"));
         }
     }
 }
--- a/crates/node/src/output.rs
+++ b/crates/node/src/output.rs
@@ -84,11 +84,6 @@
         }
     }
 
-    /// How many bytes would have room now.
-    pub fn free_bytes(&self) -> usize {
-        self.budget.available_permits()
-    }
-
     /// Hands over a part of something large once there is room for it.
     pub async fn hand(&self, bytes: Bytes) {
         let size = bytes.len().min(self.bytes).try_into().unwrap_or(u32::MAX);
