--- a/crates/node/src/engine/intake.rs
+++ b/crates/node/src/engine/intake.rs
@@ -14,6 +14,7 @@
 
 use super::Happening;
 use super::message::{Final, Forward};
+use super::transport::Presence;
 
 /// What class and tenant names stand for.
 pub struct Names {
@@ -53,7 +54,7 @@
     pub asked: Asked,
     pub reply: oneshot::Sender<Final>,
     /// Alive while the client's own task waits.
-    pub client: Weak<()>,
+    pub client: Weak<dyn Presence>,
 }
 
 /// Where all fronts hand in their requests. Counters only: the engine alone owns state.
@@ -91,11 +92,11 @@
     }
 
     /// Hands a request in and waits for its one final answer. Who drops this before has left: the engine hears of
-    /// it and gives the request up.
-    pub async fn ask(&self, asked: Asked) -> Final {
+    /// it and gives the request up. `client` is asked before each first byte whether it is there.
+    pub async fn ask(&self, asked: Asked, client: impl Presence + 'static) -> Final {
         let request = RequestId(self.next_id.fetch_add(1, Ordering::Relaxed));
         let (reply, answer) = oneshot::channel();
-        let waiting = Arc::new(());
+        let waiting: Arc<dyn Presence> = Arc::new(client);
         let client = Arc::downgrade(&waiting);
         let mut guard = Guard { request, intake: self, answered: false, _waiting: waiting };
         let arrival = Arrival { request, asked, reply, client };
@@ -113,7 +114,7 @@
     intake: &'a Intake,
     answered: bool,
     /// Lets attempts see that the client has gone before the engine has heard of it.
-    _waiting: Arc<()>,
+    _waiting: Arc<dyn Presence>,
 }
 
 impl Drop for Guard<'_> {
--- a/crates/node/src/engine/mod.rs
+++ b/crates/node/src/engine/mod.rs
@@ -49,7 +49,7 @@
 pub use members::{Datagram, Losses, Mailbox, Members};
 pub use message::{Answer, BODY_BYTES, End, Final, Forward, end_to_end};
 pub use roster::{Entry, Following, List, News, Roster, Start};
-pub use transport::{Attempt, Counts, Flight, Gate, Interest, Pass, Peer, Reports, Transport};
+pub use transport::{Attempt, Counts, Flight, Gate, Interest, Pass, Peer, Presence, Reports, Transport};
 #[cfg(test)]
 pub(crate) use ways::Seen;
 pub use ways::{Inbox, Orders, Ways};
@@ -113,7 +113,7 @@
     /// Lives as long as this does, for transports to see.
     lease: Arc<()>,
     /// Alive while the client's own task waits.
-    client: Weak<()>,
+    client: Weak<dyn Presence>,
     /// Within which its attempts are written, for a class whose repeats upstreams discard by key.
     key_window: Option<Arc<KeyWindow>>,
 }
--- a/crates/node/src/engine/tests.rs
+++ b/crates/node/src/engine/tests.rs
@@ -97,7 +97,7 @@
 /// A client that waits for its answer until its task is aborted.
 async fn client(intake: &Arc<Intake>) -> JoinHandle<Final> {
     let intake = intake.clone();
-    let client = tokio::spawn(async move { intake.ask(asked()).await });
+    let client = tokio::spawn(async move { intake.ask(asked(), ()).await });
     tokio::task::yield_now().await;
     client
 }
--- a/crates/node/src/engine/transport.rs
+++ b/crates/node/src/engine/transport.rs
@@ -49,14 +49,28 @@
     }
 }
 
+/// The client of a request, as its connection shows it at the moment of asking.
+pub trait Presence: Send + Sync {
+    /// Whether it has closed, whatever lies unread before that. Asks the kernel, whose events may not have been taken in
+    /// yet: the process may have been held up since.
+    fn has_left(&self) -> bool;
+}
+
+/// A client of which nothing more is known than that its task waits.
+impl Presence for () {
+    fn has_left(&self) -> bool {
+        false
+    }
+}
+
 /// Who still waits for what an attempt may bring. It can be asked anywhere and at any time, also while the engine
 /// has not come to hear of it yet.
-#[derive(Debug, Clone)]
+#[derive(Clone)]
 pub struct Interest {
     /// Alive until the request has its final answer.
     answer_owed: Weak<()>,
     /// Alive while the client is there, where its front says so.
-    client: Option<Weak<()>>,
+    client: Option<Weak<dyn Presence>>,
 }
 
 impl Interest {
@@ -66,7 +80,7 @@
     }
 
     /// The same, and only while the client's own task holds this.
-    pub fn while_client_holds(self, client: Weak<()>) -> Interest {
+    pub fn while_client_holds(self, client: Weak<dyn Presence>) -> Interest {
         Interest { client: Some(client), ..self }
     }
 
@@ -75,6 +89,13 @@
         let client_left = self.client.as_ref().is_some_and(|client| client.strong_count() == 0);
         self.answer_owed.strong_count() > 0 && !client_left
     }
+
+    /// The same, and the client's own connection says so now. For the last moment before a write: it may cost a system
+    /// call.
+    pub fn is_wanted_now(&self) -> bool {
+        let client = self.client.as_ref().and_then(Weak::upgrade);
+        self.is_wanted() && !client.is_some_and(|client| client.has_left())
+    }
 }
 
 /// An attempt for a transport to carry.
--- a/crates/node/src/fronts/http/connection.rs
+++ b/crates/node/src/fronts/http/connection.rs
@@ -207,8 +207,14 @@
         let by = if open.is_first { self.opened } else { Instant::now() } + REQUEST_TIME;
         let body = body_bytes(request.headers());
         let mut in_flight = self.front.begin(request.uri());
-        let context =
-            Context { front: &self.front, who: &self.who, shown: self.shown.clone(), by, open: &open };
+        let context = Context {
+            front: &self.front,
+            who: &self.who,
+            shown: self.shown.clone(),
+            by,
+            open: &open,
+            socket: &self.socket,
+        };
         let mut response = handle(request, context, &mut in_flight).await;
         if let Some(in_flight) = in_flight {
             if let Some(reason) = response.extensions().get() {
--- a/crates/node/src/fronts/http/request.rs
+++ b/crates/node/src/fronts/http/request.rs
@@ -14,6 +14,7 @@
 use super::Front;
 use super::activity::OpenRequest;
 use super::listener::Who;
+use super::socket::ClientSocket;
 use crate::engine::{Asked, BODY_BYTES, Final, Forward, Names, end_to_end};
 use crate::figures::InFlight;
 use crate::fronts::address_lists::Client;
@@ -36,6 +37,8 @@
     pub by: Instant,
     /// Its place among the requests of its connection.
     pub open: &'a OpenRequest<'a>,
+    /// The socket that it came in by.
+    pub socket: &'a ClientSocket,
 }
 
 /// Answers a request.
@@ -44,7 +47,7 @@
     context: Context<'_>,
     in_flight: &mut Option<InFlight>,
 ) -> Response<Full<Bytes>> {
-    let Context { front, who, shown, by, open } = context;
+    let Context { front, who, shown, by, open, socket } = context;
     if request.uri().path() == "/up" {
         let up = front.intake.is_ready();
         return match (request.method() == Method::GET, up) {
@@ -83,7 +86,7 @@
     let forward = Forward { method: head.method, target, headers: end_to_end(&head.headers), body };
     let asked = Asked { class, tenant, at, time_left, who: shown, forward };
     open.is_whole();
-    match front.intake.ask(asked).await {
+    match front.intake.ask(asked, socket.clone()).await {
         Final::Served(headers, body) => {
             let mut response = Response::new(Full::new(body));
             *response.headers_mut() = headers;
--- a/crates/node/src/fronts/http/socket.rs
+++ b/crates/node/src/fronts/http/socket.rs
@@ -18,6 +18,9 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
+use crate::engine::Presence;
+use crate::socket::{Kernel, SystemCalls};
+
 /// So much is read ahead while a request is being answered. Behind more than this a close shows only by the event that
 /// the kernel sends for it.
 const READ_AHEAD_BYTES: usize = 64 << 10;
@@ -80,6 +83,23 @@
         }
     }
 
+    /// Reads what is there, up to `room`, past the runtime. Whether there was anything; an error is the end of the
+    /// connection.
+    fn read_ahead_now(&self, room: usize) -> io::Result<bool> {
+        let mut chunk = [0; READ_AHEAD_STEP];
+        let step = room.min(READ_AHEAD_STEP);
+        match Kernel.receive(&SockRef::from(&self.shared.stream), &mut chunk[..step]) {
+            Ok(0) => Err(io::ErrorKind::UnexpectedEof.into()),
+            Ok(read) => {
+                self.ahead().extend_from_slice(&chunk[..read]);
+                Ok(true)
+            }
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => Ok(false),
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => Ok(true),
+            Err(error) => Err(error),
+        }
+    }
+
     /// Whether bytes wait that the server has not been given. Asks the kernel itself, whose events may not have been
     /// taken in yet.
     pub fn has_unread(&self) -> bool {
@@ -116,6 +136,22 @@
     }
 }
 
+impl Presence for ClientSocket {
+    fn has_left(&self) -> bool {
+        loop {
+            let room = READ_AHEAD_BYTES.saturating_sub(self.ahead().len());
+            if room == 0 {
+                return false;
+            }
+            match self.read_ahead_now(room) {
+                Ok(true) => {}
+                Ok(false) => return false,
+                Err(_) => return true,
+            }
+        }
+    }
+}
+
 impl AsyncRead for ClientSocket {
     fn poll_read(
         self: Pin<&mut Self>,
@@ -180,3 +216,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "socket_tests.rs"]
+mod tests;
--- a/crates/node/src/transports/http1/attempt.rs
+++ b/crates/node/src/transports/http1/attempt.rs
@@ -9,9 +9,10 @@
 use super::connection::Connection;
 use super::exchange::{Failure, exchange, explain, outcome_of, size_on_the_wire, upstream_request};
 use super::local_failure::FurtherTries;
-use super::stream::{StreamState, Withheld, WriteRules};
+use super::rules::AttemptRules;
+use super::stream::{StreamState, Withheld};
 use super::transport::{NoConnection, Shared, Source};
-use crate::engine::{Attempt, BODY_BYTES, End, Flight, Interest, KeyWindow, Pass, Peer};
+use crate::engine::{Attempt, BODY_BYTES, End, Peer};
 
 /// Why nothing was written, where rules of residency forbid it.
 const OUTSIDE: &str = "outside its regions";
@@ -38,71 +39,6 @@
     Failed(NoConnection),
 }
 
-/// Whether an attempt may be written. Asked before it takes the connection, and again at the writes themselves.
-struct AttemptRules {
-    shared: Arc<Shared>,
-    flight: Flight,
-    interest: Interest,
-    pass: Option<Pass>,
-    key_window: Option<Arc<KeyWindow>>,
-    /// The upstream as it was when its connection was chosen.
-    peer: Peer,
-}
-
-impl AttemptRules {
-    fn new(shared: &Arc<Shared>, attempt: &Attempt, peer: &Peer) -> AttemptRules {
-        AttemptRules {
-            shared: shared.clone(),
-            flight: attempt.flight,
-            interest: attempt.interest.clone(),
-            pass: attempt.pass.clone(),
-            key_window: attempt.key_window.clone(),
-            peer: peer.clone(),
-        }
-    }
-
-    /// Whether it may begin, as far as nothing has to be noted for that.
-    fn check(&self) -> Result<(), Withheld> {
-        if !self.interest.is_wanted() {
-            return Err(Withheld::NotWanted);
-        }
-        if Instant::now() >= self.flight.until {
-            return Err(Withheld::TimeIsUp);
-        }
-        let Some(now) = self.shared.peer(self.flight.upstream) else { return Err(Withheld::NotServing) };
-        if now.life != self.peer.life || !now.serving {
-            return Err(Withheld::NotServing);
-        }
-        // A list may have moved the name to another zone: neither where it was nor where it is may be outside.
-        let lets = |peer: &Peer| self.pass.as_ref().is_none_or(|pass| pass.lets(peer));
-        if !lets(&self.peer) || !lets(&now) {
-            return Err(Withheld::OutsideRegions);
-        }
-        self.proceed()
-    }
-}
-
-impl WriteRules for AttemptRules {
-    fn begin(&self) -> Result<(), Withheld> {
-        self.check()?;
-        match &self.key_window {
-            Some(window) => {
-                window.begin(self.flight.attempt, Instant::now()).map_err(|_| Withheld::KeyWindowClosed)
-            }
-            None => Ok(()),
-        }
-    }
-
-    fn proceed(&self) -> Result<(), Withheld> {
-        match &self.key_window {
-            Some(window) => {
-                window.allows(self.flight.attempt, Instant::now()).map_err(|_| Withheld::KeyWindowClosed)
-            }
-            None => Ok(()),
-        }
-    }
-}
-
 /// How far the request of an exchange has been written.
 struct Progress {
     stream: Arc<StreamState>,
@@ -360,6 +296,10 @@
         }
         Failure::GivenUp => End::Outcome(Outcome::Cancelled, None),
         failure if progress.is_whole() => end_of_written(failure, used),
+        // Its client left while it was written; the rest never will be.
+        Failure::Broken(_) if progress.stream.withheld() == Some(Withheld::NotWanted) => {
+            End::Outcome(Outcome::Cancelled, None)
+        }
         failure => end_of_partly_written(failure),
     }
 }
--- a/crates/node/src/transports/http1/exchange.rs
+++ b/crates/node/src/transports/http1/exchange.rs
@@ -1,6 +1,7 @@
 //! One request and its answer over a connection.
 
 use std::net::SocketAddr;
+use std::time::Duration;
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -14,6 +15,12 @@
 use super::stream::WriteRules;
 use crate::engine::{Answer, BODY_BYTES, Forward};
 
+/// So much less time than is left is told to upstreams. What is told may exceed what the client has left by 150 ms, all
+/// of which a hold-up before the write may take.
+const TOLD_IN_HAND: Duration = Duration::from_millis(12);
+/// But never more than one such part of what is left.
+const TOLD_SHARE_IN_HAND: u32 = 8;
+
 /// Why an exchange brought no answer to the request.
 pub enum Failure {
     /// The connection broke, or the answer was no HTTP.
@@ -101,8 +108,8 @@
     {
         headers.insert(header::HOST, host);
     }
-    let left = until.saturating_duration_since(Instant::now()).as_millis().max(1) as u64;
-    headers.insert("x-timeout-ms", HeaderValue::from(left));
+    headers
+        .insert("x-timeout-ms", HeaderValue::from(told_ms(until.saturating_duration_since(Instant::now()))));
     if forward.method != Method::GET || !forward.body.is_empty() {
         headers.insert(header::CONTENT_LENGTH, HeaderValue::from(forward.body.len()));
     }
@@ -110,6 +117,13 @@
     request
 }
 
+/// The time that an upstream is told, where so much is left: less by what the ways of the request to this sidecar and on
+/// from it may take, of which the client's own clock knows. Where little is left, less of it is kept.
+pub fn told_ms(left: Duration) -> u64 {
+    let told = left - TOLD_IN_HAND.min(left / TOLD_SHARE_IN_HAND);
+    told.as_millis().max(1) as u64
+}
+
 /// The request that a probe is.
 pub fn probe_request(path: &'static str, dial: SocketAddr) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(Bytes::new()));
--- a/crates/node/src/transports/http1/mod.rs
+++ b/crates/node/src/transports/http1/mod.rs
@@ -6,6 +6,7 @@
 mod local_failure;
 mod pool;
 mod probe;
+mod rules;
 mod settings;
 mod stream;
 mod transport;
--- a/crates/node/src/transports/http1/tests/answers.rs
+++ b/crates/node/src/transports/http1/tests/answers.rs
@@ -7,7 +7,7 @@
 use super::*;
 use crate::engine::BODY_BYTES;
 use crate::transports::http1::connection::Connection;
-use crate::transports::http1::exchange::{exchange, size_on_the_wire, upstream_request};
+use crate::transports::http1::exchange::{exchange, size_on_the_wire, told_ms, upstream_request};
 use crate::transports::http1::probe::Always;
 
 /// How an upstream ends a connection after what it sent.
@@ -185,3 +185,12 @@
         connection = connection.settle().await.expect("it is kept");
     }
 }
+
+/// What is told must be less than what is left to the client by what a hold-up before the write leaves of the slack.
+#[test]
+fn an_upstream_is_told_less_than_is_left() {
+    let told = [(0, 1), (1, 1), (8, 7), (80, 70), (96, 84), (480, 468), (6_000, 5_988)];
+    for (left, expected) in told {
+        assert_eq!(told_ms(Duration::from_millis(left)), expected, "{left} ms left");
+    }
+}
--- a/crates/node/src/transports/http1/tests/before_the_first_byte.rs
+++ b/crates/node/src/transports/http1/tests/before_the_first_byte.rs
@@ -2,12 +2,13 @@
 
 use std::net::SocketAddr;
 use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
 
 use sagemast::api::{ClassId, Outcome, RequestId, TenantId};
 use tokio::io::AsyncReadExt;
 
 use super::*;
-use crate::engine::{Counts, Gate, Pass};
+use crate::engine::{Counts, Gate, Pass, Presence};
 
 #[tokio::test]
 async fn an_attempt_for_nobody_ends_once_and_was_not_sent() {
@@ -124,3 +125,56 @@
         assert!(!is_connected_to(listener), "{why}");
     }
 }
+
+/// A client whose connection may be closed while its task still waits: the process was held up, and no event of the
+/// close has been taken in.
+struct Socket {
+    is_closed: AtomicBool,
+}
+
+impl Presence for Socket {
+    fn has_left(&self) -> bool {
+        self.is_closed.load(Ordering::Relaxed)
+    }
+}
+
+/// An attempt for a client whose connection is closed, or may yet be.
+fn for_client((mut attempt, wanted): (Attempt, Wanted), is_closed: bool) -> (Attempt, Wanted, Arc<Socket>) {
+    let client = Arc::new(Socket { is_closed: is_closed.into() });
+    let task: Arc<dyn Presence> = client.clone();
+    let owed = wanted.answer_owed.as_ref().expect("an answer is owed");
+    attempt.interest = Interest::until_answered(owed).while_client_holds(Arc::downgrade(&task));
+    (attempt, wanted, client)
+}
+
+#[tokio::test]
+async fn nothing_is_written_over_a_new_connection_for_a_client_that_closed_during_a_hold_up() {
+    let (transport, mut seen, listener) = one_upstream(settings()).await;
+    let (attempt, _wanted, _client) = for_client(attempt(), true);
+    transport.attempt(attempt);
+    let mut stream = accept(&listener).await;
+    assert_eq!(seen.end().await, (RequestId(2), Outcome::NotSent));
+    assert_eq!(bytes_until_closed(&mut stream).await, 0);
+}
+
+#[tokio::test]
+async fn nothing_is_written_over_an_idle_connection_for_a_client_that_closed_during_a_hold_up() {
+    let (transport, mut seen, listener) = one_upstream(settings()).await;
+    let mut stream = pooled_connection(&transport, &mut seen, &listener).await;
+    let (attempt, _wanted, _client) = for_client(attempt(), true);
+    transport.attempt(attempt);
+    assert_eq!(seen.answer().await.0, Outcome::NotSent);
+    assert_eq!(bytes_until_closed(&mut stream).await, 0);
+}
+
+#[tokio::test]
+async fn the_rest_of_a_request_is_not_written_for_a_client_that_closed_during_a_hold_up() {
+    let (transport, mut seen, listener) = one_upstream(settings()).await;
+    let (attempt, _wanted, client) = for_client(huge_attempt(), false);
+    transport.attempt(attempt);
+    let mut stream = accept(&listener).await;
+    read_head(&mut stream).await;
+    client.is_closed.store(true, Ordering::Relaxed);
+    assert!(bytes_until_closed(&mut stream).await < HUGE_BODY);
+    assert_eq!(seen.end().await, (RequestId(2), Outcome::Cancelled));
+}
--- a/crates/node/src/transports/http1/tests/mod.rs
+++ b/crates/node/src/transports/http1/tests/mod.rs
@@ -9,7 +9,7 @@
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
-use std::sync::Arc;
+use std::sync::{Arc, Weak};
 use std::time::Duration;
 
 use bytes::Bytes;
@@ -81,7 +81,8 @@
         upstream: UPSTREAM,
         until: Instant::now() + Duration::from_secs(10),
     };
-    let interest = Interest::until_answered(&answer_owed).while_client_holds(Arc::downgrade(&client));
+    let task: Weak<()> = Arc::downgrade(&client);
+    let interest = Interest::until_answered(&answer_owed).while_client_holds(task);
     let attempt =
         Attempt { flight, forward: Arc::new(forward), given_up, interest, key_window: None, pass: None };
     let wanted = Wanted { give_up: Some(give_up), answer_owed: Some(answer_owed), client: Some(client) };
