--- a/crates/node/src/fronts/http/socket.rs
+++ b/crates/node/src/fronts/http/socket.rs
@@ -15,6 +15,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::timeout;
 
+use crate::engine::Presence;
 use crate::socket::{Readiness, Stream};
 
 /// So much is read ahead while a request is being answered. Behind more than this a close shows only by the event that
@@ -77,6 +78,22 @@
         }
     }
 
+    /// Reads what is there, up to `room`, past the runtime. Whether there was anything; an error is the end of the
+    /// connection.
+    fn read_ahead_now(&self, room: usize) -> io::Result<bool> {
+        let mut chunk = [0; READ_AHEAD_STEP];
+        let step = room.min(READ_AHEAD_STEP);
+        match self.shared.stream.receive_now(&mut chunk[..step]) {
+            Ok(0) => Err(io::ErrorKind::UnexpectedEof.into()),
+            Ok(read) => {
+                self.ahead().extend_from_slice(&chunk[..read]);
+                Ok(true)
+            }
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => Ok(false),
+            Err(error) => Err(error),
+        }
+    }
+
     /// Whether bytes wait that the server has not been given. Asks the kernel itself, whose events may not have been
     /// taken in yet.
     pub fn has_unread(&self) -> bool {
@@ -100,6 +117,22 @@
     }
 }
 
+impl Presence for ClientSocket {
+    fn has_left(&self) -> bool {
+        loop {
+            let room = READ_AHEAD_BYTES.saturating_sub(self.ahead().len());
+            if room == 0 {
+                return false;
+            }
+            match self.read_ahead_now(room) {
+                Ok(true) => {}
+                Ok(false) => return false,
+                Err(_) => return true,
+            }
+        }
+    }
+}
+
 impl AsyncRead for ClientSocket {
     fn poll_read(
         self: Pin<&mut Self>,
@@ -144,3 +177,7 @@
         Poll::Ready(self.shared.stream.end_sending())
     }
 }
+
+#[cfg(test)]
+#[path = "socket_tests.rs"]
+mod tests;
