--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -13,6 +13,7 @@
 mod config;
 pub mod coordinator;
 pub mod facts;
+mod later_start;
 pub mod leases;
 pub mod lists;
 pub mod membership;
--- a/crates/peers/src/peer.rs
+++ b/crates/peers/src/peer.rs
@@ -8,11 +8,12 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::api::{
-    Config, Fact, FactKind, Guidance, Input, Known, Millis, Output, Reach, ServerKey, Standing,
+    Config, Fact, FactKind, Guidance, Input, Known, MemberId, Millis, Output, Reach, ServerKey, Standing,
 };
 use crate::config::{ConfigError, check};
 use crate::coordinator::{self, Coordinator};
 use crate::facts::{Facts, News};
+use crate::later_start::LaterStart;
 use crate::leases::{Bound, Ledger};
 use crate::membership::Membership;
 use crate::overload::{self, Overload};
@@ -53,6 +54,8 @@
     /// How many former selves may still be told so in this period, and when this one was.
     outdated: u8,
     renewed: Option<Millis>,
+    /// What others claim to know of later starts of this one.
+    later_start: LaterStart,
     datagrams_in: u64,
     datagrams_out: u64,
     bytes_in: u64,
@@ -98,6 +101,7 @@
             asked: None,
             outdated: OUTDATED_TOLD,
             renewed: None,
+            later_start: LaterStart::new(incarnation, config.members.len().saturating_sub(1)),
             datagrams_in: 0,
             datagrams_out: 0,
             bytes_in: 0,
@@ -249,7 +253,7 @@
             }
             Kind::OUTDATED => match postcard::from_bytes::<u64>(part) {
                 Ok(newest) => {
-                    self.outdated(now, newest, outbox, out);
+                    self.outdated(now, from, newest, outbox, out);
                     true
                 }
                 Err(_) => false,
@@ -259,15 +263,19 @@
         }
     }
 
-    /// Others know a later start of this member: its clock was set back between two starts. It goes on as a process
-    /// that started after that one, and with what such a one knows.
-    fn outdated(&mut self, now: Millis, newest: u64, outbox: &mut Outbox, out: &mut Vec<Output>) {
-        let lately = self.renewed.is_some_and(|at| now.saturating_sub(at) < self.config.timing.lease);
-        if newest < self.incarnation || newest >= HIGHEST_INCARNATION || lately {
-            return;
-        }
-        // It is this very process that is known: a datagram of its former self came late.
-        if newest == self.incarnation {
+    /// Another knows a later start of this member: its clock was set back between two starts. It goes on as a process
+    /// that started after that one, and with what such a one knows. Nothing for a datagram of its former self that came
+    /// late, when it is this very process that is known.
+    fn outdated(
+        &mut self,
+        now: Millis,
+        by: MemberId,
+        start: u64,
+        outbox: &mut Outbox,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(newest) = self.later_start.claimed(by, start, self.incarnation) else { return };
+        if self.renewed.is_some_and(|at| now.saturating_sub(at) < self.config.timing.lease) {
             return;
         }
         out.push(Output::Note(format!(
--- a/crates/peers/tests/fleet/main.rs
+++ b/crates/peers/tests/fleet/main.rs
@@ -1,6 +1,7 @@
 //! Several members in one thread, with links that lose, double and hold back datagrams.
 
 mod hostile;
+mod incarnation;
 mod play;
 mod together;
 
