--- a/crates/peers/src/leases.rs
+++ b/crates/peers/src/leases.rs
@@ -117,8 +117,8 @@
 }
 
 impl Ledger {
-    /// The ledger of a process that started now.
-    pub fn new(config: &Config, now: Millis, seed: u64) -> Ledger {
+    /// The ledger of a process that started now with this incarnation.
+    pub fn new(config: &Config, now: Millis, incarnation: u64, seed: u64) -> Ledger {
         let timing = &config.timing;
         Ledger {
             me: config.me,
@@ -129,7 +129,7 @@
             period: timing.period.max(1),
             drift: timing.drift,
             things: BTreeMap::new(),
-            nonce: 0,
+            nonce: first_nonce(incarnation),
             asked: BTreeMap::new(),
             lent: BTreeMap::new(),
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -305,6 +305,12 @@
     }
 }
 
+/// Where a process begins to number its asks: a loan to a former one, which comes late, must not answer one of this. By
+/// Knuth's multiplicative hashing processes whose incarnations are near each other begin far apart.
+fn first_nonce(incarnation: u64) -> u32 {
+    (incarnation as u32).wrapping_mul(0x9e37_79b1)
+}
+
 fn send(to: MemberId, message: Message, out: &mut Outbox) {
     if let Ok(body) = postcard::to_allocvec(&message) {
         out.push(to, Kind::LEASE, &body);
--- a/crates/peers/src/peer.rs
+++ b/crates/peers/src/peer.rs
@@ -89,7 +89,7 @@
             incarnation,
             membership: Membership::new(&config, incarnation, rng.random()),
             facts: Facts::new(&config, now, incarnation, rng.random()),
-            ledger: Ledger::new(&config, now, rng.random()),
+            ledger: Ledger::new(&config, now, incarnation, rng.random()),
             coordinator: Coordinator::new(Arc::clone(&config), now, incarnation, rng.random()),
             overload: Overload::new(Arc::clone(&config), now),
             reach: None,
@@ -289,7 +289,7 @@
         let own = self.facts.own();
         self.membership = Membership::new(&self.config, self.incarnation, self.rng.random());
         self.facts = Facts::new(&self.config, now, self.incarnation, self.rng.random());
-        self.ledger = Ledger::new(&self.config, now, self.rng.random());
+        self.ledger = Ledger::new(&self.config, now, self.incarnation, self.rng.random());
         let seed = self.rng.random();
         self.coordinator = Coordinator::new(Arc::clone(&self.config), now, self.incarnation, seed);
         *outbox = Outbox::new(Head::new(self.digest, self.config.me, self.incarnation));
--- a/crates/peers/tests/sum_of_leases.rs
+++ b/crates/peers/tests/sum_of_leases.rs
@@ -88,7 +88,7 @@
         let rate = [1.0 - rate, 1.0, 1.0 + rate][rng.random_range(0..3)];
         let at = rng.random_range(5_000.0..90_000.0) - rate * real;
         let now = (at + rate * real) as Millis;
-        let ledger = Ledger::new(&config(count, member), now, rng.random());
+        let ledger = Ledger::new(&config(count, member), now, incarnation, rng.random());
         Process { ledger, incarnation, at, rate, next: real + rng.random_range(0.0..200.0) }
     };
     let mut processes: Vec<Process> = (0..count).map(|m| start(m, 0.0, 1, &mut rng)).collect();
@@ -161,7 +161,7 @@
 
     #[test]
     fn rights_add_up_and_only_grow_with_the_bound(count in 1_usize..40, total in 0_u32..200, thing in any::<u64>()) {
-        let ledger = Ledger::new(&config(count, 0), 0, 1);
+        let ledger = Ledger::new(&config(count, 0), 0, 1, 1);
         let ledger = &ledger;
         let rights = |total| (0..count).map(move |m| ledger.right(thing, total, MemberId(m as u16)));
         prop_assert_eq!(rights(total).sum::<u32>(), total);
@@ -200,3 +200,52 @@
     println!("{late} of 150");
     assert!(late >= 75, "{late} of 150");
 }
+
+/// Guards the sum where a loan is late and its borrower restarted meanwhile: its lender counts it for the former time.
+#[test]
+fn a_loan_to_a_former_process_is_not_taken_for_an_answer_to_this_one() {
+    // Given a lender that has all of a thing by right, and a borrower whose ask it answers.
+    let digest = wire::digest(&config(2, 0));
+    let everyone = [MemberId(0), MemberId(1)];
+    let split = Ledger::new(&config(2, 0), 0, 1, 1);
+    let thing = (0..).find(|thing| split.right(*thing, 1, MemberId(0)) == 1).expect("a thing");
+    let bound = Bound { thing, total: 1, window: 1_000 };
+    let process = |member, now, incarnation| {
+        let mut ledger = Ledger::new(&config(2, member), now, incarnation, 1);
+        ledger.bounds(now, [bound]);
+        ledger
+    };
+    let parts = |mut out: Outbox| -> Vec<Vec<u8>> {
+        let datagrams = out.drain().map(|(_, bytes)| bytes);
+        let of = |bytes: Vec<u8>| {
+            wire::read(&bytes, digest)
+                .expect("whole")
+                .1
+                .iter()
+                .map(|part| part.1.to_vec())
+                .collect::<Vec<_>>()
+        };
+        datagrams.flat_map(of).collect()
+    };
+    let ask = |ledger: &mut Ledger, now, incarnation| {
+        let mut out = Outbox::new(Head::new(digest, MemberId(1), incarnation));
+        ledger.every_period(now, &everyone, &mut out);
+        parts(out)
+    };
+    let (now, former, later) = (100_000, 1_700_000_000_000, 1_700_000_000_500);
+    let mut lender = process(0, 0, 1);
+    let asks = ask(&mut process(1, now, former), now, former);
+    let mut out = Outbox::new(Head::new(digest, MemberId(0), 1));
+    asks.iter().for_each(|part| assert!(lender.heard(now, MemberId(1), former, part, &mut out)));
+    let loans = parts(out);
+    assert!(!loans.is_empty(), "it lends");
+    // When the borrower has restarted and asked anew before the answer comes, then that gives it nothing.
+    for incarnation in [later, former + 1] {
+        let mut borrower = process(1, now + 500, incarnation);
+        ask(&mut borrower, now + 500, incarnation);
+        let mut out = Outbox::new(Head::new(digest, MemberId(1), incarnation));
+        loans.iter().for_each(|part| assert!(borrower.heard(now + 501, MemberId(0), 1, part, &mut out)));
+        let lease = borrower.grant(now + 502, thing, 300).expect("it is shared");
+        assert_eq!(lease.requests, 0, "as {incarnation}");
+    }
+}
