--- a/crates/harelock/tests/client_endings.rs
+++ b/crates/harelock/tests/client_endings.rs
@@ -133,6 +133,46 @@
     }
 }
 
+/// Guards against a close between two turns of the HTTP server, which answers so many pipelined requests in each.
+#[test]
+fn more_pipelined_requests_than_a_turn_takes_are_all_answered_at_the_end() {
+    const REQUESTS: usize = 200;
+    let upstream = Upstream::new(|_| Deed::ok("served"));
+    let (mut sidecar, _discovery) = Sidecar::with(&[&upstream]);
+    let mut client = Client::to(sidecar.address);
+    assert_eq!(client.ask("fetch").status(), 200);
+    while_stopped(&sidecar, || {
+        sidecar.signal("-TERM");
+        client.write("GET /up HTTP/1.1\r\nHost: a\r\n\r\n".repeat(REQUESTS).as_bytes());
+    });
+    for number in 0..REQUESTS {
+        let answer = client.read().unwrap_or_else(|| panic!("no answer to {number}"));
+        assert_eq!(answer.status(), 200);
+    }
+    assert!(client.read().is_none(), "then it is closed");
+    assert!(sidecar.wait_exit().success());
+}
+
+/// Guards against a close over a request that was read in part while its client was still writing it.
+#[test]
+fn a_head_that_is_half_read_at_the_end_is_answered_once_it_is_whole() {
+    let upstream = Upstream::new(|_| Deed::ok("served"));
+    let (mut sidecar, _discovery) = Sidecar::with(&[&upstream]);
+    let mut client = Client::to(sidecar.address);
+    assert_eq!(client.ask("fetch").status(), 200);
+    let text = request("fetch", 8_000);
+    let (head, last) = text.split_at(text.len() - 1);
+    client.write(head.as_bytes());
+    std::thread::sleep(Duration::from_millis(100));
+    sidecar.signal("-TERM");
+    until("it ends", || sidecar.has_said(&["SIGTERM"]));
+    std::thread::sleep(Duration::from_millis(100));
+    client.write(last.as_bytes());
+    assert_eq!(client.read().map(|answer| answer.status()), Some(200));
+    assert_eq!(upstream.requests().len(), 2);
+    assert!(sidecar.wait_exit().success());
+}
+
 #[test]
 fn a_request_whose_last_byte_crosses_the_end_is_answered_or_never_sent_on() {
     let upstream = Upstream::new(|_| Deed::ok("served"));
--- a/crates/node/src/fronts/http/activity.rs
+++ b/crates/node/src/fronts/http/activity.rs
@@ -1,5 +1,6 @@
 //! What a client connection is doing: whether a request on it is being answered, and since when it has been idle.
 
+use std::future::poll_fn;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::task::Poll;
 use std::time::Duration;
@@ -23,12 +24,14 @@
     requests: u64,
     /// The last byte received, or the last answer that was ready.
     last: Instant,
+    /// Since when a head has been coming that is not whole.
+    head_since: Option<Instant>,
 }
 
 impl Activity {
     /// A connection that was accepted at this time and has carried nothing.
     pub fn new(opened: Instant) -> Activity {
-        let state = State { open: 0, is_waiting: false, requests: 0, last: opened };
+        let state = State { open: 0, is_waiting: false, requests: 0, last: opened, head_since: None };
         Activity { state: Mutex::new(state), changed: Notify::new() }
     }
 
@@ -37,23 +40,42 @@
         let mut state = self.state();
         state.open += 1;
         state.requests += 1;
+        state.head_since = None;
         OpenRequest { activity: self, is_first: state.requests == 1 }
     }
 
-    /// Bytes were received.
-    pub fn received(&self) {
-        self.state().last = Instant::now();
+    /// Bytes were received, after which a head is half there or not.
+    pub fn received(&self, is_inside_head: bool) {
+        let mut state = self.state();
+        let now = Instant::now();
+        state.last = now;
+        state.head_since = is_inside_head.then(|| state.head_since.unwrap_or(now));
+    }
+
+    /// How many requests have begun on it.
+    pub fn requests(&self) -> u64 {
+        self.state().requests
     }
 
     /// Whether a request has begun on it.
     pub fn has_carried(&self) -> bool {
-        self.state().requests > 0
+        self.requests() > 0
     }
 
-    /// Comes back at once while no request is open, else never. Poll it after the connection: what the connection has
-    /// just read counts.
-    pub async fn is_idle(&self) {
-        std::future::poll_fn(|_| if self.state().open == 0 { Poll::Ready(()) } else { Poll::Pending }).await;
+    /// Comes back at once while no request is open, else never; while half a head is there, once that has been so for
+    /// `limit`. Poll it after the connection: what the connection has just read counts.
+    pub async fn is_idle(&self, limit: Duration) {
+        loop {
+            poll_fn(|_| if self.state().open == 0 { Poll::Ready(()) } else { Poll::Pending }).await;
+            let Some(since) = self.state().head_since else { return };
+            if since + limit <= Instant::now() {
+                return;
+            }
+            tokio::select! {
+                () = sleep_until(since + limit) => {}
+                () = self.changed.notified() => {}
+            }
+        }
     }
 
     /// Comes back once no request has been open and no byte has come for so long.
@@ -109,6 +131,7 @@
         state.open -= 1;
         state.is_waiting = false;
         state.last = Instant::now();
+        state.head_since = None;
         drop(state);
         self.activity.changed.notify_waiters();
     }
--- a/crates/node/src/fronts/http/connection.rs
+++ b/crates/node/src/fronts/http/connection.rs
@@ -27,7 +27,7 @@
 use super::listener::Who;
 use super::request::{Context, body_bytes, handle};
 use super::socket::ClientSocket;
-use super::{Front, IDLE_AT_END, REQUEST_TIME};
+use super::{Front, REQUEST_TIME};
 use crate::fronts::Phase;
 
 /// Room for a head; hyper also reads bodies through it.
@@ -102,7 +102,7 @@
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(match now {
-            Phase::Closing => IDLE_AT_END,
+            Phase::Closing => REQUEST_TIME,
             _ if *opened.scarce.borrow_and_update() => IDLE_WHILE_SCARCE,
             _ => IDLE,
         })
@@ -110,7 +110,7 @@
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let mut is_watched = true;
-    let mut put_off = PUT_OFF;
+    let mut rest = Rest::default();
     let mut is_shut = false;
     loop {
         // A connection that has carried nothing yet is about to: it gets its one answer while clients may still come.
@@ -127,25 +127,30 @@
                 return End::ByUs;
             }
             () = client_left(socket, activity) => return End::ByClient,
-            () = activity.is_idle(), if may_shut => {
-                if put_off > 0 && socket.has_unread() {
-                    // The runtime has not told the connection of it yet.
-                    put_off -= 1;
-                    yield_now().await;
-                } else {
-                    // A head that has begun to come is still read and answered.
+            () = activity.is_idle(REQUEST_TIME), if may_shut => {
+                if rest.is_certain(activity, socket) {
                     connection.as_mut().graceful_shutdown();
                     is_shut = true;
+                } else {
+                    yield_now().await;
                 }
             }
             // It connected and has not sent even a head: it is no client, and keeps others out.
             () = sleep_until(opened.at + REQUEST_TIME), if is_watched => {
-                if !activity.has_carried() {
+                if activity.has_carried() {
+                    is_watched = false;
+                } else if rest.is_certain(activity, socket) {
+                    return End::ByUs;
+                } else {
+                    yield_now().await;
+                }
+            }
+            () = idle_while_scarce(&mut opened.scarce, activity) => {
+                if rest.is_certain(activity, socket) {
                     return End::ByUs;
                 }
-                is_watched = false;
+                yield_now().await;
             }
-            () = idle_while_scarce(&mut opened.scarce, activity) => return End::ByUs,
             changed = phase.changed() => {
                 // Without its sender the process is about to be gone.
                 now = changed.map_or(Phase::Closing, |()| *phase.borrow_and_update());
@@ -154,6 +159,38 @@
     }
 }
 
+/// Whether a connection on which no request is open may be closed without losing one that has come.
+struct Rest {
+    /// The requests that had begun when it was asked last.
+    requests: u64,
+    /// How often unread bytes may still put off the close.
+    put_off: usize,
+}
+
+impl Default for Rest {
+    fn default() -> Rest {
+        Rest { requests: 0, put_off: PUT_OFF }
+    }
+}
+
+impl Rest {
+    /// Asks after the connection was polled. Where it is not certain, the connection is to be polled again, once the
+    /// runtime has had a turn.
+    fn is_certain(&mut self, activity: &Activity, socket: &ClientSocket) -> bool {
+        let requests = activity.requests();
+        if std::mem::replace(&mut self.requests, requests) != requests {
+            // hyper answers so many pipelined requests in a turn. It may hold more that it has read.
+            return false;
+        }
+        if self.put_off > 0 && socket.has_unread() {
+            // The runtime has not told the connection of it yet.
+            self.put_off -= 1;
+            return false;
+        }
+        true
+    }
+}
+
 /// Comes back once the client has closed while it was owed an answer.
 async fn client_left(socket: &ClientSocket, activity: &Activity) {
     loop {
@@ -194,8 +231,9 @@
 impl Exchange {
     /// Takes in what was received.
     fn received(&self, bytes: &[u8]) {
-        self.activity.received();
-        self.framing.lock().unwrap_or_else(PoisonError::into_inner).received(bytes);
+        let mut framing = self.framing.lock().unwrap_or_else(PoisonError::into_inner);
+        framing.received(bytes);
+        self.activity.received(framing.is_inside_head());
     }
 
     /// Answers one request.
--- a/crates/node/src/fronts/http/framing.rs
+++ b/crates/node/src/fronts/http/framing.rs
@@ -43,6 +43,11 @@
         }
     }
 
+    /// Whether part of a head was received and its end was not. Where the client has pipelined, it may be so.
+    pub fn is_inside_head(&self) -> bool {
+        self.pipelined || (self.begun && self.head.is_none())
+    }
+
     /// The request ends with a body of so many bytes, or of unknown length. Tells whether more may have been received
     /// behind it.
     pub fn end_of_request(&mut self, body: Option<u64>) -> bool {
