--- a/crates/node/src/fronts/http/activity.rs
+++ b/crates/node/src/fronts/http/activity.rs
@@ -1,5 +1,6 @@
 //! What a client connection is doing: whether a request on it is being answered, and since when it has been idle.
 
+use std::future::poll_fn;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::task::Poll;
 use std::time::Duration;
@@ -82,15 +83,30 @@
         }
     }
 
+    /// How many requests have begun on it.
+    pub fn requests(&self) -> u64 {
+        self.state().requests
+    }
+
     /// Whether a request has begun on it.
     pub fn has_carried(&self) -> bool {
-        self.state().requests > 0
+        self.requests() > 0
     }
 
-    /// Comes back at once while no request is open, else never. Poll it after the connection: what the connection has
-    /// just read counts.
-    pub async fn is_idle(&self) {
-        std::future::poll_fn(|_| if self.state().open == 0 { Poll::Ready(()) } else { Poll::Pending }).await;
+    /// Comes back at once while no request is open, else never; while half a head is there, once that has been so for
+    /// `limit`. Poll it after the connection: what the connection has just read counts.
+    pub async fn is_idle(&self, limit: Duration) {
+        loop {
+            poll_fn(|_| if self.state().open == 0 { Poll::Ready(()) } else { Poll::Pending }).await;
+            let Some(since) = self.state().head_began else { return };
+            if since + limit <= Instant::now() {
+                return;
+            }
+            tokio::select! {
+                () = sleep_until(since + limit) => {}
+                () = self.changed.notified() => {}
+            }
+        }
     }
 
     /// Comes back once no request has been open and no byte has come for so long.
