--- /dev/null
+++ b/crates/fault-injection/tests/connections.rs
@@ -0,0 +1,50 @@
+//! Accepts and connects that fail for reasons of this machine cost few requests their answer, and no server its place.
+
+#[path = "../../harelock/tests/loopback/mod.rs"]
+mod loopback;
+
+mod load;
+
+use std::time::{Duration, Instant};
+
+use load::{Arrivals, Load, alone, injected_at_end, served_after, sidecar};
+use loopback::Deed;
+
+/// The time from the start to the first 200 of `GET /up`.
+const LONGEST_START: Duration = Duration::from_secs(2);
+/// The part of all requests that is served.
+const SERVED_SHARE: f64 = 0.9;
+
+/// Half of the requests come on new connections.
+const LOAD: Load = Load {
+    clients: 6,
+    requests: 40,
+    classes: &["fetch", "log", "bill"],
+    timeout: Duration::from_secs(6),
+    a_connection: 2,
+};
+
+/// Holds the load under a plan to the bounds.
+fn check(plan: &str, word: &str, deed: fn(usize) -> Deed) {
+    let arrivals = Arrivals::default();
+    let servers = [(); 4].map(|()| arrivals.server(deed));
+    let begun = Instant::now();
+    let (mut sidecar, _discovery) = sidecar(&servers.each_ref(), &alone(), plan);
+    let ready_after = begun.elapsed();
+    let outcome = LOAD.send(sidecar.address);
+    let ejected = sidecar.count(&["ejected for failures"]);
+    let injected = injected_at_end(&mut sidecar, word);
+    eprintln!("{plan}: ready after {ready_after:?}, {outcome}; {injected} faults, {ejected} ejected");
+    assert!(injected > 50, "only {injected} faults");
+    assert!(ready_after < LONGEST_START, "ready after {ready_after:?}");
+    assert!(outcome.closed().is_empty(), "closed with no answer: {outcome}");
+    assert!(outcome.served() as f64 >= SERVED_SHARE * outcome.seen.len() as f64, "{outcome}");
+    assert_eq!(ejected, 0, "a server pays for faults that are this machine's");
+}
+
+#[test]
+fn half_of_the_accepts_fail() {
+    let plan = r#"{"seed":1,"accept":{"fail":0.5,
+        "errors":["ECONNABORTED","ENFILE","EMFILE","ENOBUFS","EINTR","EPROTO"]}}"#;
+    check(plan, "accepts", |_| served_after(Duration::from_millis(5)));
+}
--- a/crates/harelock/tests/loopback/mod.rs
+++ b/crates/harelock/tests/loopback/mod.rs
@@ -9,6 +9,13 @@
 use std::sync::{Arc, Mutex, mpsc};
 use std::time::{Duration, Instant};
 
+/// The program under test: the released one, or in the package for failing system calls the one that runs on those.
+const PROGRAM: &str =
+    match (option_env!("CARGO_BIN_EXE_harelock"), option_env!("CARGO_BIN_EXE_harelock-under-faults")) {
+        (Some(program), _) | (None, Some(program)) => program,
+        (None, None) => panic!("no program to test"),
+    };
+
 /// Nothing here takes this long unless it never comes.
 pub const FOREVER: Duration = Duration::from_secs(30);
 
@@ -292,12 +299,12 @@
 
 /// Starts the program on a configuration, with its standard error piped.
 pub fn spawn(config: &str) -> Child {
-    spawn_with(config, None, None).0
+    spawn_with(config, None, None, &[]).0
 }
 
 /// The same with the operators' file.
 pub fn spawn_operated(config: &str, operator: &str) -> Child {
-    spawn_with(config, Some(&file(operator)), None).0
+    spawn_with(config, Some(&file(operator)), None, &[]).0
 }
 
 /// The same, with its standard error read no further than to where it listens.
@@ -322,19 +329,21 @@
     file.into_temp_path().keep().unwrap()
 }
 
-/// The same with a limit on its descriptors.
+/// The same with a limit on its descriptors and further variables in its environment.
 fn spawn_with(
     config: &str,
     operator: Option<&Path>,
     descriptors: Option<u32>,
+    variables: &[(&str, &str)],
 ) -> (Child, std::path::PathBuf) {
     let path = file(config);
     let operator = operator.map(|path| [Path::new("--operator"), path]);
     let limit = descriptors.map_or(String::new(), |count| format!("ulimit -n {count} && "));
     let child = Command::new("sh")
-        .args(["-c", &format!("{limit}exec \"$0\" \"$@\""), env!("CARGO_BIN_EXE_harelock")])
+        .args(["-c", &format!("{limit}exec \"$0\" \"$@\""), PROGRAM])
         .args(operator.into_iter().flatten())
         .env("ROUTER_CONFIG", &path)
+        .envs(variables.iter().copied())
         .stdin(Stdio::null())
         .stdout(Stdio::null())
         .stderr(Stdio::piped())
@@ -351,7 +360,12 @@
 
     /// The same with a limit on its descriptors.
     pub fn start_with(config: &str, descriptors: Option<u32>) -> Sidecar {
-        Sidecar::listening(spawn_with(config, None, descriptors))
+        Sidecar::listening(spawn_with(config, None, descriptors, &[]))
+    }
+
+    /// Starts it with further variables in its environment and waits until it listens.
+    pub fn start_in(config: &str, variables: &[(&str, &str)]) -> Sidecar {
+        Sidecar::listening(spawn_with(config, None, None, variables))
     }
 
     /// The same with the operators' file.
@@ -362,7 +376,7 @@
     /// The same, and where that file is.
     pub fn operated_by(config: &str, operator: &str) -> (Sidecar, std::path::PathBuf) {
         let operator = file(operator);
-        (Sidecar::listening(spawn_with(config, Some(&operator), None)), operator)
+        (Sidecar::listening(spawn_with(config, Some(&operator), None, &[])), operator)
     }
 
     /// How many lines of its log hold all of these.
