--- a/crates/fault-injection/tests/connections.rs
+++ b/crates/fault-injection/tests/connections.rs
@@ -24,6 +24,13 @@
     a_connection: 2,
 };
 
+/// Answers, and closes the connection with every other answer, so that new ones are needed all the time.
+fn closes_often(number: usize) -> Deed {
+    std::thread::sleep(Duration::from_millis(5));
+    let closes = if number.is_multiple_of(2) { "Connection: close\r\n" } else { "" };
+    Deed::Answer(200, closes, b"served".to_vec())
+}
+
 /// Holds the load under a plan to the bounds.
 fn check(plan: &str, word: &str, deed: fn(usize) -> Deed) {
     let arrivals = Arrivals::default();
@@ -48,3 +55,10 @@
         "errors":["ECONNABORTED","ENFILE","EMFILE","ENOBUFS","EINTR","EPROTO"]}}"#;
     check(plan, "accepts", |_| served_after(Duration::from_millis(5)));
 }
+
+#[test]
+fn half_of_the_connects_fail() {
+    let plan = r#"{"seed":2,"connect":{"fail":0.5,
+        "errors":["EADDRNOTAVAIL","ENETUNREACH","ENOBUFS","EAGAIN"]}}"#;
+    check(plan, "connects", closes_often);
+}
--- a/crates/fault-injection/tests/leaving_clients.rs
+++ b/crates/fault-injection/tests/leaving_clients.rs
@@ -82,6 +82,13 @@
     assert!(latest.unwrap_or_default() <= AFTER_THE_CLOSE, "{latest:?}");
 }
 
+#[test]
+fn nothing_is_sent_for_clients_that_left_while_writes_are_held_up() {
+    let (latest, injected) = played(r#"{"seed":4,"hold_up":{"share":0.1,"most_ms":150}}"#, "held_up");
+    assert!(injected > 10, "only {injected} writes were held up");
+    assert!(latest.unwrap_or_default() <= AFTER_THE_CLOSE + HOLD_UP, "{latest:?}");
+}
+
 #[test]
 fn nothing_is_sent_for_clients_that_left_while_reads_are_interrupted() {
     let (latest, injected) = played(r#"{"seed":5,"receive":{"short":0.3,"interrupted":0.2}}"#, "interrupted");
