--- a/crates/sagemast/src/brain.rs
+++ b/crates/sagemast/src/brain.rs
@@ -7,6 +7,7 @@
 use std::collections::BTreeMap;
 
 use oorandom::Rand64;
+use ordered_float::OrderedFloat;
 use routes::purse::{self, Budgets, Further, Purse};
 use serde::{Deserialize, Serialize};
 
@@ -14,6 +15,7 @@
 use crate::fleet::Fleet;
 use crate::groups::{From, Pool};
 use crate::guided::Guided;
+use crate::slow_start::SlowStart;
 use crate::state::*;
 
 /// A report older than this is renewed when its server is drawn: servers renew theirs no oftener.
@@ -104,12 +106,8 @@
 const LIMIT_LEAST: f64 = 0.2;
 /// First and longest time for which a server that turned a request away is left alone.
 const SHUT_FOR: [Millis; 2] = [100.0, 1_600.0];
-/// The share of a cold server's allowance that is used: speeds and costs are estimates.
+/// The share of a cold server's allowance that a fleet's leases give out: speeds and costs are estimates.
 pub const COLD_MARGIN: f64 = 0.5;
-/// So many times its equal part of what servers can do a sidecar may have; more while few share a server.
-const UNEVEN: f64 = 2.0;
-/// How often a client tries a request that is refused again and again: once, and up to three times more.
-const TRIES: f64 = 4.0;
 
 /// The decision module of one sidecar. The same seed, settings and events give the same actions.
 #[derive(Debug, Serialize, Deserialize)]
@@ -117,12 +115,13 @@
     #[serde(skip)]
     pub(crate) settings: Settings,
     #[serde(with = "crate::exact::rng")]
-    rng: Rand64,
+    pub(crate) rng: Rand64,
     pub(crate) now: Millis,
     pub(crate) requests: BTreeMap<RequestId, Held>,
     pub(crate) fleet: Fleet,
     pub(crate) seen: Learnt,
     pub(crate) guided: Guided,
+    pub(crate) slow_start: SlowStart,
 }
 
 impl Balancer {
@@ -140,6 +139,7 @@
             fleet: Fleet::new(seed),
             seen,
             guided: Guided::default(),
+            slow_start: SlowStart::new(seed),
         }
     }
 
@@ -147,6 +147,7 @@
     pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         self.fleet.pass_time(self.now, &self.settings.safety);
+        self.slow_start.begin(self.now);
         match event {
             Event::Arrived { request, class, tenant, time_left, repeat } => {
                 let earned = if repeat { 0.0 } else { PROBES_WORTH / self.settings.probe_fee };
@@ -193,9 +194,7 @@
         let density = self.density(held.class);
         let usual = self.seen.usual_density.get_or_insert(density);
         *usual += SMOOTH_ALL * (density - *usual);
-        let decay = (-(self.now - self.seen.offered_at) / self.settings.safety.fall).exp();
-        self.seen.offered = self.seen.offered * decay + self.seen.service[id.0].time;
-        self.seen.offered_at = self.now;
+        self.slow_start.arrived(id, class.aim * SERVICE_PRIOR);
         self.requests.insert(request, held);
         // Asked whether or not they are drawn: the others hear of these servers by this sidecar alone.
         self.guided.duty().into_iter().for_each(|id| self.probe(id, out));
@@ -229,7 +228,7 @@
         // What bounds a cold one is its allowance: unheard of, it seems to hold what warm ones hold.
         let bounded = |to: &Candidate| to.crowding <= room && to.used <= most * to.limit;
         let fits = |to: &Candidate| to.wait <= left && (to.pool == Pool::Cold || bounded(to));
-        let (mut last, mut cold_drawn) = (None, false);
+        let (mut last, mut cold_drawn) = ([None; 3], false);
         let pairs = (PAIRS[0] + PAIRS[1] * (self.seen_alone() - 1.0)).round() as usize;
         for round in 0.. {
             // One that a cold pair was drawn in vain for does not count.
@@ -243,12 +242,12 @@
                 From::Ready if cold_drawn => From::Warm,
                 within => within,
             };
-            let Some(ids) = self.fleet.pair(ring, from, |n| self.rng.rand_range(0..n)) else { continue };
-            let [Some(one), Some(other)] = ids.map(|id| self.look(id, held)) else { continue };
-            let pair = [one, other];
-            last = Some(pair);
-            let by_use = if pair[1].projected < pair[0].projected { [pair[1], pair[0]] } else { pair };
-            for to in by_use {
+            let drawn = self.draw(ring, from, round, held);
+            let Some(ids) = drawn.map(|drawn| drawn.map(|to| to.map(|to| to.id))) else { continue };
+            last = drawn.unwrap_or_default();
+            let mut by_use = last;
+            by_use.sort_by_key(|to| to.map_or(OrderedFloat(f64::MAX), |to| OrderedFloat(to.projected)));
+            for to in by_use.into_iter().flatten() {
                 // One that has just failed this request is the likeliest to fail it again.
                 let failed = spared && held.tries.iter().any(|t| t.upstream == to.id);
                 let others = to.pool == Pool::Trial && !self.guided.tries(to.id);
@@ -257,15 +256,15 @@
                     continue;
                 }
                 cold_drawn |= to.pool == Pool::Cold;
-                if self.admits(to) {
-                    ids.into_iter().for_each(|id| self.probe(id, out));
+                if self.admits(&to) {
+                    ids.into_iter().flatten().for_each(|id| self.probe(id, out));
                     return Some(to);
                 }
             }
         }
         // A pair is asked all the same: else none would ever be seen to have room again.
         last.iter().flatten().for_each(|drawn| self.probe(drawn.id, out));
-        self.explain(request, held, last, out);
+        self.explain(request, held, &last, out);
         None
     }
 
@@ -288,22 +287,6 @@
         }
     }
 
-    /// Whether a server that was drawn may be sent one more: a cold one by what the fleet leased of it, else
-    /// by chance: of the two of `n` requests that it is drawn for, chance leaves what its budget allows.
-    fn admits(&mut self, to: Candidate) -> bool {
-        match self.guided.leased(&to, self.now) {
-            None if to.pool == Pool::Cold => {}
-            leased => return leased.unwrap_or(true),
-        }
-        let share = COLD_MARGIN * self.settings.safety.fall_multiple * to.warmth / 2.0;
-        // Beyond our part of what servers of known size can do chances fall, and where all refuse.
-        let kappa = self.fleet.get(to.id).filter(|s| self.sized(s)).map_or(f64::MAX, |s| self.kappa(s));
-        let part = self.fleet.serving(None) as f64 * kappa / self.seen.sharers;
-        let most = part * UNEVEN.max(TRIES / SMOOTH_ALL / self.seen.sharers);
-        let fits = (most * self.settings.safety.fall / self.seen.offered).min(1.0);
-        self.rng.rand_float() < share * fits * (1.0 - self.seen.refused).max(1.0 / TRIES)
-    }
-
     /// How many times its service time an answer may take, less while answers are late. The same for all: by
     /// what its time leaves of its aim, the class that takes longest would bear all refusals. Its own wait
     /// must only make its aim.
@@ -374,7 +357,7 @@
     // --- A server as it looks now ------------------------------------------------------------
 
     /// A server's projected utilisation and expected answer time for this request.
-    fn look(&self, id: UpstreamId, held: &Held) -> Option<Candidate> {
+    pub(crate) fn look(&self, id: UpstreamId, held: &Held) -> Option<Candidate> {
         let server = self.fleet.get(id).filter(|server| self.guided.allows(held, server.zone))?;
         let (in_flight, kappa) = (self.in_flight(server), self.kappa(server));
         let warmth = server.warmth(self.now, &self.settings.safety);
@@ -414,7 +397,8 @@
     /// server takes the mean of the known ones.
     fn in_flight(&self, upstream: &Upstream) -> f64 {
         let age = (self.now - upstream.reported_at - STALE).max(0.0);
-        let others = self.seen.others + (upstream.others - self.seen.others) * (-age / FORGET).exp();
+        let (usual, told) = self.others(upstream);
+        let others = usual + (told - usual) * (-age / FORGET).exp();
         // What is out for long while the server answers others is lost or hangs, and holds no place there.
         let longest = self.seen.service.iter().map(|service| service.time).fold(1.0, f64::max);
         let since = self.now - LOST_AFTER * longest * self.remembered(upstream).max(1.0);
@@ -471,6 +455,9 @@
             held.tries.push(this);
         }
         self.guided.sent(&to);
+        if to.warmth < 1.0 {
+            self.slow_start.sent(to.id, self.now, self.settings.safety.fall);
+        }
         self.fleet.settle(to.id, &self.settings.safety);
         out.push(Action::Send { request, upstream: to.id, timeout });
     }
@@ -630,6 +617,10 @@
         // room for.
         if answered && sent.to.depth <= 1.0 {
             service.add(alone, SMOOTH_ALL);
+            if warmth >= 1.0 {
+                let assumed = self.settings.classes[sent.class.0].aim * SERVICE_PRIOR;
+                self.slow_start.answered(sent.class, alone, assumed);
+            }
         }
         let copy = self.settings.classes[sent.class.0].policy.second_copy.filter(|_| answered);
         if let Some(share) = copy.and_then(|copy| copy.after.share()) {
@@ -740,6 +731,7 @@
         }
         let (home, safety) = (self.settings.zone, &self.settings.safety);
         list.iter().for_each(|entry| self.fleet.update(entry, home, safety));
+        self.slow_start.forget_before(self.now - safety.fall);
         self.choose_subset();
     }
 
--- a/crates/sagemast/src/explain.rs
+++ b/crates/sagemast/src/explain.rs
@@ -14,7 +14,7 @@
         &mut self,
         request: RequestId,
         held: &Held,
-        last: Option<[Candidate; 2]>,
+        last: &[Option<Candidate>],
         out: &mut Vec<Action>,
     ) {
         if self.now < self.seen.explained_at + EXPLAIN_EVERY {
@@ -22,14 +22,14 @@
         }
         self.seen.explained_at = self.now;
         let seen = &self.seen;
-        let drawn = last.map_or("none".to_owned(), |pair| {
-            let told = |c: Candidate| {
-                let Candidate { id, pool, wait, crowding, used, .. } = c;
-                format!("{} {pool:?} wait={wait:.0} crowding={crowding:.1} used={used:.2}", id.0)
-                    .to_lowercase()
-            };
-            format!("[{}, {}]", told(pair[0]), told(pair[1]))
-        });
+        let told = |c: &Candidate| {
+            let Candidate { id, pool, wait, crowding, used, .. } = c;
+            format!("{} {pool:?} wait={wait:.0} crowding={crowding:.1} used={used:.2}", id.0).to_lowercase()
+        };
+        let drawn = match last.iter().flatten().map(told).collect::<Vec<_>>() {
+            drawn if drawn.is_empty() => "none".to_owned(),
+            drawn => format!("[{}]", drawn.join(", ")),
+        };
         let ring = self.guided.ring(held);
         let [warm, cold, trial, waiting] = Pool::ALL.map(|pool| self.fleet.count(ring, &[pool]));
         let text = format!(
--- a/crates/sagemast/src/fleet.rs
+++ b/crates/sagemast/src/fleet.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::api::*;
-use crate::groups::{From, Pool, Ring, Set, join, leave, pair};
+use crate::groups::{From, Pool, Ring, Set, join, leave, member, pair};
 use crate::state::*;
 
 /// All servers known, and the sets of those that serve.
@@ -98,6 +98,16 @@
         }
     }
 
+    /// The cold server of a ring at an index.
+    pub fn cold(&self, ring: Option<usize>, index: usize) -> Option<UpstreamId> {
+        member(self.ring(ring)?.cold(), index)
+    }
+
+    /// How many rings there are beside the whole subset.
+    pub fn rings(&self) -> usize {
+        self.rings.len()
+    }
+
     // --- What changes the sets ----------------------------------------------------------------
 
     /// Takes over what discovery says of a server.
--- a/crates/sagemast/src/groups.rs
+++ b/crates/sagemast/src/groups.rs
@@ -60,6 +60,29 @@
     Cell(CellId),
 }
 
+impl From {
+    /// The states of those that it takes in; none where it is a group.
+    fn pools(self) -> &'static [Pool] {
+        match self {
+            From::Near | From::Warm => &[Pool::Warm],
+            From::Ready => &[Pool::Warm, Pool::Cold, Pool::Trial],
+            From::Everyone => &Pool::ALL,
+            From::Zone(_) | From::Cell(_) => &[],
+        }
+    }
+}
+
+/// The member of some sets at an index over all of them.
+pub(crate) fn member<'s>(sets: impl Iterator<Item = &'s Set>, mut index: usize) -> Option<UpstreamId> {
+    for set in sets {
+        match set.get_index(index) {
+            Some(id) => return Some(*id),
+            None => index -= set.len(),
+        }
+    }
+    None
+}
+
 /// A pair of distinct members of some sets, drawn by `below(n)`, a random number under `n`; the one there is, twice,
 /// where there is only one.
 pub(crate) fn pair<'s>(
@@ -69,17 +92,8 @@
     let count = sets.clone().map(|set| set.len()).sum::<usize>() as u64;
     let first = below(count.checked_sub(1)? + 1);
     let step = if count > 1 { 1 + below(count - 1) } else { 0 };
-    let member = |index: u64| {
-        let mut index = index as usize;
-        for set in sets.clone() {
-            match set.get_index(index) {
-                Some(id) => return Some(*id),
-                None => index -= set.len(),
-            }
-        }
-        None
-    };
-    Some([member(first)?, member((first + step) % count)?])
+    let at = |index: u64| member(sets.clone(), index as usize);
+    Some([at(first)?, at((first + step) % count)?])
 }
 
 /// The highest number where nobody has a place.
@@ -147,14 +161,14 @@
 
     /// The sets that make up whom a pair is drawn from; none where that is a group.
     pub fn sets(&self, from: From) -> impl Iterator<Item = &Set> + Clone {
-        let (sides, pools) = match from {
-            From::Near => (1, 1),
-            From::Warm => (2, 1),
-            From::Ready => (2, Pool::Waiting as usize),
-            From::Everyone => (2, Pool::ALL.len()),
-            From::Zone(_) | From::Cell(_) => (0, 0),
-        };
-        self.pools[..sides].iter().flat_map(move |side| &side[..pools])
+        let sides = if from == From::Near { 1 } else { 2 };
+        let pools = from.pools();
+        self.pools[..sides].iter().flat_map(move |side| pools.iter().map(|pool| &side[*pool as usize]))
+    }
+
+    /// The sets of cold ones.
+    pub fn cold(&self) -> impl Iterator<Item = &Set> {
+        self.pools.iter().map(|side| &side[Pool::Cold as usize])
     }
 
     /// Keeps so many of its servers, by how many those are, given the numbers and zones of all in order; whether that
--- a/crates/sagemast/src/guided.rs
+++ b/crates/sagemast/src/guided.rs
@@ -59,7 +59,12 @@
         self.told.trials.as_ref().is_none_or(|trials| trials.contains(&id))
     }
 
-    /// Whether a server may be sent one more by what was leased of it; nothing where it is not cold, or chance decides.
+    /// Whether leases say what servers in slow start are sent.
+    pub fn leases(&self) -> bool {
+        self.told.cold.is_some()
+    }
+
+    /// Whether a server may be sent one more by what was leased of it; nothing where it is not cold, or nothing is leased.
     pub fn leased(&self, to: &Candidate, now: Millis) -> Option<bool> {
         let cold = self.told.cold.as_ref().filter(|_| to.warmth < 1.0)?;
         Some(cold.get(&to.id).is_some_and(|lease| lease.requests > 0 && now < lease.until))
--- a/crates/sagemast/src/lib.rs
+++ b/crates/sagemast/src/lib.rs
@@ -10,6 +10,7 @@
 mod guided;
 mod reroute;
 pub mod settings;
+mod slow_start;
 mod state;
 pub mod view;
 
--- a/crates/sagemast/src/reroute.rs
+++ b/crates/sagemast/src/reroute.rs
@@ -22,6 +22,7 @@
     pub fn put_class(&mut self, id: ClassId, class: Class, known: ClassId) {
         let mut service = self.seen.service[known.0];
         service.purse = service.purse.within(self.settings.classes[known.0].budgets(), class.budgets());
+        self.slow_start.forget_class(id);
         if let Some(place) = self.settings.classes.get_mut(id.0) {
             (*place, self.seen.service[id.0]) = (class, service);
         } else {
--- a/crates/sagemast/src/state.rs
+++ b/crates/sagemast/src/state.rs
@@ -154,9 +154,6 @@
     /// Room shrinks to this share of the usual while answers are late, and when it was last learnt.
     pub room_scale: f64,
     pub room_at: Millis,
-    /// Service time of the arrivals, a sum that decays over the window of the rule on cold servers.
-    pub offered: Millis,
-    pub offered_at: Millis,
     /// Worth per service time of the mean arrival.
     pub usual_density: Option<f64>,
     /// Each tenant's share of our arrivals.
