--- a/crates/concert/src/counts.rs
+++ b/crates/concert/src/counts.rs
@@ -90,8 +90,11 @@
                     }
                     open.sends += 1;
                 }
-                Action::Refuse { request, .. } => {
-                    if let Some(open) = self.open.remove(request) {
+                Action::Refuse { request, reason, .. } => {
+                    // What residency forbids says nothing about the room that there is.
+                    if let Some(open) = self.open.remove(request)
+                        && *reason != Reason::Residency
+                    {
                         self.done[open.base].refused += 1;
                     }
                 }
@@ -131,3 +134,6 @@
         self.work.filter(|work| *work > 0.0)
     }
 }
+
+#[cfg(test)]
+mod tests;
