--- a/crates/concert/src/api.rs
+++ b/crates/concert/src/api.rs
@@ -36,7 +36,7 @@
     /// Its tenants, by their ids.
     pub tenants: Vec<String>,
     /// The zones that the settings name, by their ids; strangers are numbered as
-    /// [`sagemast::settings::number_of`] does.
+    /// [`sagemast::settings::number_of_name`] does.
     pub zones: Vec<String>,
 }
 
--- a/crates/concert/src/company.rs
+++ b/crates/concert/src/company.rs
@@ -4,7 +4,7 @@
 use peers::api::{Entry, Fact, FactKind};
 use residency::{Keeper, Rules};
 use sagemast::Balancer;
-use sagemast::api::{Action, ClassId, Event, Guidance, Millis, Safety, TenantId, UpstreamId};
+use sagemast::api::{Action, ClassId, Event, Guidance, Millis, SlowStartRules, TenantId, UpstreamId};
 
 use crate::api::{ClassNames, Input, Output, Setup, SetupError, View};
 use crate::counts::Counts;
@@ -34,7 +34,7 @@
     peer: Peer,
     counts: Counts,
     evidence: Evidence,
-    safety: Safety,
+    safety: SlowStartRules,
     /// How often the fleet is told of the module, and when next.
     period: Millis,
     next: Millis,
@@ -73,7 +73,7 @@
                 let counts = Counts::new(platform, bases(&classes));
                 let peer = Peer::new(config, ms(now), incarnation, seed)
                     .map_err(|error| SetupError(error.to_string()))?;
-                let (evidence, safety) = (Evidence::default(), settings.safety.clone());
+                let (evidence, safety) = (Evidence::default(), settings.slow_start.clone());
                 Some(Member { peer, counts, evidence, safety, period, next: now, guided: None })
             }
         };
@@ -182,7 +182,7 @@
                 Event::Reported { upstream, report: guidance::report(report), age: age as f64 }
             }),
             peers::Output::Tried { server, well } => {
-                self.roster.id(server).map(|upstream| Event::Tried { upstream, well })
+                self.roster.id(server).map(|upstream| Event::EjectionProbeEnded { upstream, recovered: well })
             }
         };
         self.pending.extend(event.map(Output::Event));
@@ -259,7 +259,7 @@
             (Some(_), None) => {
                 // The module is told that everything is free.
                 let free = Keeper::new(&Rules::none(), ms(now));
-                let news = self.rings.news(free.binding()).map(Event::Within);
+                let news = self.rings.news(free.binding()).map(Event::ResidencyChanged);
                 self.pending.extend(news.map(Output::Event));
                 self.keeper = None;
             }
@@ -286,7 +286,8 @@
         }
         let Some(keeper) = &mut self.keeper else { return };
         self.pending.extend(keeper.notes().into_iter().map(Output::Note));
-        self.pending.extend(self.rings.news(keeper.binding()).map(Event::Within).map(Output::Event));
+        self.pending
+            .extend(self.rings.news(keeper.binding()).map(Event::ResidencyChanged).map(Output::Event));
     }
 }
 
--- a/crates/concert/src/company/tests.rs
+++ b/crates/concert/src/company/tests.rs
@@ -9,8 +9,8 @@
 use proptest::prelude::*;
 use residency::{ClassFacts, Context, Keeper, Rules};
 use sagemast::api::{
-    Action, AttemptNo, CellId, Class, Effect, Finished, KindId, Lifecycle, Limits, ListNews, Listing,
-    Outcome, RequestId, Safety, Settings, ZoneId,
+    Action, AttemptNo, CellId, Class, Finished, Idempotency, KindId, Lifecycle, Limits, ListUpdate, Listing,
+    Outcome, RequestId, Settings, SlowStartRules, ZoneId,
 };
 
 use super::*;
@@ -20,17 +20,22 @@
 
 fn settings() -> Settings {
     let class = Class {
-        aim: 400.0,
-        worth: 1.0,
-        late_worth: 0.0,
-        effect: Effect::Repeatable,
+        latency_objective: 400.0,
+        priority_weight: 1.0,
+        late_weight: 0.0,
+        idempotency: Idempotency::Idempotent,
         policy: Default::default(),
     };
     Settings {
         classes: vec![class.clone(), class],
         sidecars: 3,
-        limits: Limits { max_attempts: 4, probes: true, tick: 5.0, ..Limits::default() },
-        safety: Safety { cold_share: 0.3, warm_up: 8_000.0, fall_multiple: 3.0, fall: 2_000.0 },
+        limits: Limits { max_attempts: 4, load_polls: true, tick: 5.0, ..Limits::default() },
+        slow_start: SlowStartRules {
+            initial_share: 0.3,
+            warm_up: 8_000.0,
+            overload_multiple: 3.0,
+            overload_window: 2_000.0,
+        },
         ..Settings::default()
     }
 }
@@ -159,13 +164,13 @@
     fn listing(&self, id: UpstreamId, entry: &Entry) -> Listing {
         Listing {
             upstream: id,
-            zone: ZoneId(sagemast::settings::number_of(&self.zones, &entry.zone)),
+            zone: ZoneId(sagemast::settings::number_of_name(&self.zones, &entry.zone)),
             cell: CellId(entry.cell),
             kind: KindId(0),
             lifecycle: if entry.standing == Standing::Serving {
                 Lifecycle::Serving
             } else {
-                Lifecycle::Leaving
+                Lifecycle::Draining
             },
             weight: entry.weight,
             started: None,
@@ -181,7 +186,7 @@
         self.servers.insert(id, entry.clone());
         let listing = self.listing(id, &entry);
         self.input(Input::Applied(vec![(id, entry)]));
-        self.event(Event::Listed(ListNews::Changed(vec![listing])));
+        self.event(Event::Listed(ListUpdate::Changed(vec![listing])));
     }
 
     fn list(&mut self, whole: bool, entries: Vec<Entry>) {
@@ -197,7 +202,7 @@
         }
         let listings = entries.iter().map(|(id, entry)| self.listing(*id, entry)).collect();
         self.input(Input::Listed { version: 1, whole, entries });
-        let news = if whole { ListNews::Complete(listings) } else { ListNews::Changed(listings) };
+        let news = if whole { ListUpdate::Complete(listings) } else { ListUpdate::Changed(listings) };
         self.event(Event::Listed(news));
     }
 
@@ -206,7 +211,7 @@
         self.requests += 1;
         let request = RequestId(self.requests);
         let (tenant, time_left) = (TenantId(0), 900.0);
-        let actions = self.event(Event::Arrived { request, class, tenant, time_left, repeat: false });
+        let actions = self.event(Event::Arrived { request, class, tenant, time_left, is_retry: false });
         self.acted(class, &actions)
     }
 
@@ -227,7 +232,8 @@
     fn end(&mut self, outcome: Outcome) {
         let Some((request, upstream)) = self.sent.pop() else { return };
         let (attempt, latency, closed) = (AttemptNo(0), 5.0, outcome == Outcome::Ok);
-        let end = Finished { request, attempt, upstream, outcome, latency, closed, report: None };
+        let end =
+            Finished { request, attempt, upstream, outcome, latency, request_closed: closed, report: None };
         // Which class it was of does not matter here: what follows is checked by the stricter one.
         let actions = self.event(Event::Finished(end));
         let again = actions.iter().find_map(|action| match action {
@@ -416,7 +422,7 @@
             Event::Guided(guidance) => Some(guidance.clone()),
             _ => None,
         });
-        let duties = guided.and_then(|guidance| guidance.probes).expect("duties");
+        let duties = guided.and_then(|guidance| guidance.load_poll_targets).expect("duties");
         assert_eq!(duties.len(), 6, "two ask each server, and there are two");
     }
     // The first one's list is newer and says that a server drains.
--- a/crates/concert/src/counts.rs
+++ b/crates/concert/src/counts.rs
@@ -31,7 +31,8 @@
 
 impl Counts {
     pub fn new(classes: &[Class], bases: Vec<usize>) -> Counts {
-        let aims: Vec<_> = classes.iter().map(|class| (class.aim, class.late_worth > 0.0)).collect();
+        let aims: Vec<_> =
+            classes.iter().map(|class| (class.latency_objective, class.late_weight > 0.0)).collect();
         let done = vec![ClassCounts::default(); aims.len()];
         Counts { aims, bases, open: BTreeMap::new(), done, work: None }
     }
@@ -55,14 +56,14 @@
     pub fn observed(&mut self, now: Millis, event: &Event, actions: &[Action]) {
         let mut copy = false;
         match event {
-            Event::Arrived { request, class, repeat, .. } => {
+            Event::Arrived { request, class, is_retry: repeat, .. } => {
                 if let Some(base) = self.base(*class) {
                     let count = &mut self.done[base];
                     *(if *repeat { &mut count.repeats } else { &mut count.first_tries }) += 1;
                     self.open.entry(*request).or_insert(Open { base, arrived: now, sends: 0 });
                 }
             }
-            Event::Finished(end) if end.closed || end.outcome == Outcome::Ok => {
+            Event::Finished(end) if end.request_closed || end.outcome == Outcome::Ok => {
                 if let Some(Open { base, arrived, .. }) = self.open.remove(&end.request) {
                     let (aim, late) = self.aims[base];
                     let count = &mut self.done[base];
--- a/crates/concert/src/evidence.rs
+++ b/crates/concert/src/evidence.rs
@@ -18,7 +18,7 @@
     /// A trial of an ejected server ended.
     Tried(UpstreamId, bool),
     /// A server told its load.
-    Reported(UpstreamId, Report),
+    Reported(UpstreamId, LoadReport),
 }
 
 /// What was seen of servers.
@@ -47,11 +47,11 @@
                 self.ended(now, end, &mut learnt);
                 self.report(now, end.upstream, end.report, spare, &mut learnt);
             }
-            Event::Probed { upstream, answered: true, report } => {
+            Event::LoadPolled { upstream, answered: true, report } => {
                 self.answered(*upstream, &mut learnt);
                 self.report(now, *upstream, *report, spare, &mut learnt);
             }
-            Event::Tried { upstream, well: true } if self.ejected.contains(upstream) => {
+            Event::EjectionProbeEnded { upstream, recovered: true } if self.ejected.contains(upstream) => {
                 self.brought_back.insert(*upstream);
             }
             _ => {}
@@ -104,7 +104,7 @@
         &mut self,
         now: Millis,
         id: UpstreamId,
-        report: Option<Report>,
+        report: Option<LoadReport>,
         spare: Millis,
         learnt: &mut Vec<Learnt>,
     ) {
--- a/crates/concert/src/rings.rs
+++ b/crates/concert/src/rings.rs
@@ -4,7 +4,7 @@
 
 use residency::{Binding, Service, Stand, Verdict, key_of, zone_key};
 use sagemast::api::{ClassId, Residency, TenantId, ZoneId};
-use sagemast::settings::number_of;
+use sagemast::settings::number_of_name;
 
 use crate::api::ClassNames;
 
@@ -43,7 +43,7 @@
     /// Learns of a zone. Rules name zones by keys, which only a name gives an id: one that no list and no settings have
     /// named has no servers.
     pub fn meet(&mut self, zone: &str) {
-        let id = || ZoneId(number_of(&self.named, zone));
+        let id = || ZoneId(number_of_name(&self.named, zone));
         self.zones.entry(zone_key(zone)).or_insert_with(id);
     }
 
@@ -63,8 +63,8 @@
         };
         let classes = self.classes.iter().map(|services| place(ring(services))).collect();
         let tenants = self.tenants.iter().map(|tenant| place(ring(&[*tenant]))).collect();
-        let residency = Residency { rings, classes, tenants };
-        let nothing = self.told.is_none() && residency.rings.is_empty();
+        let residency = Residency { zone_sets: rings, classes, tenants };
+        let nothing = self.told.is_none() && residency.zone_sets.is_empty();
         if nothing || self.told.as_ref() == Some(&residency) {
             return None;
         }
--- a/crates/harelock/src/fleet.rs
+++ b/crates/harelock/src/fleet.rs
@@ -10,7 +10,7 @@
 use residency::Rules;
 use routes::Table;
 use routes::policy::Platform;
-use sagemast::settings::Config as Settings;
+use sagemast::settings::PlatformSettings as Settings;
 use tokio::sync::watch;
 use tracing::info;
 
--- a/crates/harelock/src/lib.rs
+++ b/crates/harelock/src/lib.rs
@@ -220,7 +220,7 @@
 fn source(config: &Config, system_calls: &Arc<dyn SystemCalls>, news: News) -> discovery::Source {
     discovery::Source {
         address: config.discovery,
-        must_ask_in: config.settings.must_ask_in(),
+        must_ask_in: config.settings.discovery_poll_interval(),
         seed: config.seed(),
         system_calls: system_calls.clone(),
         news,
--- a/crates/node/src/capture/line.rs
+++ b/crates/node/src/capture/line.rs
@@ -126,6 +126,6 @@
         Action::Refuse { .. } => Some(("refuse", None)),
         Action::Fail(_) => Some(("fail", None)),
         Action::Cancel { .. } => Some(("cancel", None)),
-        Action::Probe(_) | Action::WakeAt { .. } | Action::Log { .. } => None,
+        Action::PollLoad(_) | Action::WakeAt { .. } | Action::Log { .. } => None,
     })
 }
--- a/crates/node/src/capture/mod.rs
+++ b/crates/node/src/capture/mod.rs
@@ -149,7 +149,7 @@
     ) {
         let of = match &event {
             Event::Finished(end) => Some(end.upstream),
-            Event::Probed { upstream, .. } => Some(*upstream),
+            Event::LoadPolled { upstream, .. } => Some(*upstream),
             _ => None,
         };
         let host = decision(did).and_then(|(_, to)| to).or(of).and_then(name);
--- a/crates/node/src/capture/tests.rs
+++ b/crates/node/src/capture/tests.rs
@@ -1,19 +1,29 @@
 use super::*;
 
 pub fn settings() -> sagemast::api::Settings {
-    let class =
-        |effect| Class { aim: 200.0, worth: 1.0, late_worth: 0.0, effect, policy: Default::default() };
+    let class = |effect| Class {
+        latency_objective: 200.0,
+        priority_weight: 1.0,
+        late_weight: 0.0,
+        idempotency: effect,
+        policy: Default::default(),
+    };
     sagemast::api::Settings {
-        classes: vec![class(Effect::Repeatable), class(Effect::Once)],
+        classes: vec![class(Idempotency::Idempotent), class(Idempotency::NotIdempotent)],
         sidecars: 2,
         limits: Limits {
             max_attempts: 4,
-            probes: true,
+            load_polls: true,
             cancel: true,
             max_retry_after: 400.0,
             ..Limits::default()
         },
-        safety: Safety { cold_share: 0.2, warm_up: 20_000.0, fall_multiple: 2.5, fall: 2_000.0 },
+        slow_start: SlowStartRules {
+            initial_share: 0.2,
+            warm_up: 20_000.0,
+            overload_multiple: 2.5,
+            overload_window: 2_000.0,
+        },
         ..sagemast::api::Settings::default()
     }
 }
@@ -90,7 +100,7 @@
         };
         let hosts = named(&stage.names);
         let list = (0..hosts.len() as u64).map(listing).collect();
-        stage.event(Event::Listed(ListNews::Restored(list)), hosts);
+        stage.event(Event::Listed(ListUpdate::Restored(list)), hosts);
         stage
     }
 
@@ -111,14 +121,17 @@
                     self.out.push((request, AttemptNo(*sends), upstream));
                     *sends += 1;
                 }
-                Action::Probe(upstream) => {
-                    let report = Report {
+                Action::PollLoad(upstream) => {
+                    let report = LoadReport {
                         in_flight: Some((self.dice.rand_float() * 4.0).floor()),
                         utilisation: Some(self.dice.rand_float()),
-                        ..Report::default()
+                        ..LoadReport::default()
                     };
                     self.now += self.dice.rand_float();
-                    self.event(Event::Probed { upstream, answered: true, report: Some(report) }, Vec::new());
+                    self.event(
+                        Event::LoadPolled { upstream, answered: true, report: Some(report) },
+                        Vec::new(),
+                    );
                 }
                 _ => {}
             }
@@ -133,7 +146,7 @@
             let class = ClassId(self.dice.rand_range(0..2) as usize);
             let (request, tenant) = (RequestId(self.requests), TenantId(0));
             self.event(
-                Event::Arrived { request, class, tenant, time_left: 480.0, repeat: false },
+                Event::Arrived { request, class, tenant, time_left: 480.0, is_retry: false },
                 Vec::new(),
             );
             while !self.out.is_empty() && self.dice.rand_float() < 0.7 {
@@ -146,7 +159,8 @@
                 let latency = 30.0 + 100.0 * self.dice.rand_float();
                 let closed = outcome == Outcome::Ok;
                 let report = None;
-                let end = Finished { request, attempt, upstream, outcome, latency, closed, report };
+                let end =
+                    Finished { request, attempt, upstream, outcome, latency, request_closed: closed, report };
                 self.event(Event::Finished(end), Vec::new());
             }
         }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use anyhow::{Context, Result, anyhow, bail};
-use sagemast::settings::Config as SettingsObject;
+use sagemast::settings::PlatformSettings as SettingsObject;
 use serde::Deserialize;
 
 use crate::json;
@@ -94,7 +94,10 @@
     /// Reads and checks the text of a configuration.
     pub fn parse(text: &[u8]) -> Result<Config> {
         let config: Config = json::read(text)?;
-        config.settings.check().map_err(|bad| anyhow!("settings.{}", json::printable(&bad.to_string())))?;
+        config
+            .settings
+            .validate()
+            .map_err(|bad| anyhow!("settings.{}", json::printable(&bad.to_string())))?;
         if config.limits.sockets < MIN_SOCKETS {
             bail!(
                 "limits.sockets: {} are fewer than the {MIN_SOCKETS} that are needed",
--- a/crates/node/src/config/tests.rs
+++ b/crates/node/src/config/tests.rs
@@ -2,7 +2,7 @@
 
 use sagemast::Balancer;
 use sagemast::api::{
-    CellId, ClassId, Event, KindId, Lifecycle, ListNews, Listing, RequestId, TenantId, UpstreamId, ZoneId,
+    CellId, ClassId, Event, KindId, Lifecycle, ListUpdate, Listing, RequestId, TenantId, UpstreamId, ZoneId,
 };
 use serde_json::{Value, json};
 
@@ -159,14 +159,14 @@
         weight: 1.0,
         started: Some(0.0),
     };
-    module.handle(1.0, Event::Listed(ListNews::Complete(vec![listing])), &mut actions);
+    module.handle(1.0, Event::Listed(ListUpdate::Complete(vec![listing])), &mut actions);
     for request in 0..3 {
         let arrived = Event::Arrived {
             request: RequestId(request),
             class: ClassId(1),
             tenant: TenantId(1),
             time_left: 500.0,
-            repeat: false,
+            is_retry: false,
         };
         module.handle(2.0 + request as f64, arrived, &mut actions);
     }
@@ -277,5 +277,5 @@
         try_out(&config);
     }
     let zone = "\u{ff}~".repeat(4_096);
-    assert!(parse(&complete()).expect("sound").settings.zone_named(&zone) > 1, "one that is not listed");
+    assert!(parse(&complete()).expect("sound").settings.zone_number(&zone) > 1, "one that is not listed");
 }
--- a/crates/node/src/engine/attempts.rs
+++ b/crates/node/src/engine/attempts.rs
@@ -29,12 +29,12 @@
 impl Engine {
     /// The window of a new request of this class, if its repeats are discarded by key.
     pub(super) fn key_window(&self, class: ClassId) -> Option<Arc<KeyWindow>> {
-        match self.module.classes().get(class.0)?.effect {
-            Effect::ByKey { window, .. } => {
+        match self.module.classes().get(class.0)?.idempotency {
+            Idempotency::ByKey { window, .. } => {
                 let length = Duration::try_from_secs_f64(window / 1e3).unwrap_or(Duration::MAX);
                 Some(Arc::new(KeyWindow::new(length)))
             }
-            Effect::Repeatable | Effect::Once => None,
+            Idempotency::Idempotent | Idempotency::NotIdempotent => None,
         }
     }
 
@@ -100,7 +100,7 @@
             upstream: flight.upstream,
             outcome,
             latency,
-            closed,
+            request_closed: closed,
             report,
         };
         self.event_of(Event::Finished(finished), Some(&sent.forward), None);
--- a/crates/node/src/engine/company.rs
+++ b/crates/node/src/engine/company.rs
@@ -227,7 +227,7 @@
         let basis = self.basis_by_peer(&entry);
         let listing = self.update(&entry, basis);
         self.tell_company(Input::Applied(vec![(listing.upstream, told)]));
-        self.event(Event::Listed(ListNews::Changed(vec![listing])));
+        self.event(Event::Listed(ListUpdate::Changed(vec![listing])));
     }
 
     /// Tells the company a list of the roster's, in the same words.
--- a/crates/node/src/engine/intake.rs
+++ b/crates/node/src/engine/intake.rs
@@ -7,7 +7,7 @@
 
 use hyper::Uri;
 use routes::matching::segments;
-use sagemast::api::{ClassId, Effect, RequestId, TenantId};
+use sagemast::api::{ClassId, Idempotency, RequestId, TenantId};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 use tokio_util::task::TaskTracker;
@@ -19,7 +19,7 @@
 /// What class and tenant names stand for.
 pub struct Names {
     /// By class id.
-    pub classes: Vec<(String, Effect)>,
+    pub classes: Vec<(String, Idempotency)>,
     /// By tenant id.
     pub tenants: Vec<String>,
 }
--- a/crates/node/src/engine/list.rs
+++ b/crates/node/src/engine/list.rs
@@ -30,7 +30,7 @@
             let named: HashSet<UpstreamId> = listings.iter().map(|listing| listing.upstream).collect();
             for (id, server) in self.servers.iter_mut().filter(|(id, _)| !named.contains(id)) {
                 if server.listing.lifecycle == Lifecycle::Serving {
-                    server.listing.lifecycle = Lifecycle::Leaving;
+                    server.listing.lifecycle = Lifecycle::Draining;
                     self.transport.update_upstream(*id, server.peer());
                 }
             }
@@ -50,9 +50,9 @@
             self.listed_company(list.version, whole, entries);
         }
         self.event(Event::Listed(match (restored, whole) {
-            (true, _) => ListNews::Restored(listings),
-            (false, true) => ListNews::Complete(listings),
-            (false, false) => ListNews::Changed(listings),
+            (true, _) => ListUpdate::Restored(listings),
+            (false, true) => ListUpdate::Complete(listings),
+            (false, false) => ListUpdate::Changed(listings),
         }));
     }
 
@@ -98,10 +98,10 @@
         let started = self.started(id, entry.started_ms, basis);
         let listing = Listing {
             upstream: id,
-            zone: ZoneId(self.settings.zone_named(&entry.zone)),
+            zone: ZoneId(self.settings.zone_number(&entry.zone)),
             cell: CellId(entry.cell),
-            kind: KindId(self.settings.kind_named(&entry.kind)),
-            lifecycle: if entry.serving { Lifecycle::Serving } else { Lifecycle::Leaving },
+            kind: KindId(self.settings.kind_number(&entry.kind)),
+            lifecycle: if entry.serving { Lifecycle::Serving } else { Lifecycle::Draining },
             weight: entry.weight,
             started,
         };
@@ -140,7 +140,7 @@
     fn leave_server(&mut self, name: &str) -> Option<Listing> {
         let id = *self.names.get(name)?;
         let server = self.servers.get_mut(&id)?;
-        server.listing.lifecycle = Lifecycle::Leaving;
+        server.listing.lifecycle = Lifecycle::Draining;
         if let Some(entry) = &mut server.entry {
             entry.serving = false;
         }
--- a/crates/node/src/engine/mod.rs
+++ b/crates/node/src/engine/mod.rs
@@ -32,7 +32,7 @@
 use routes::Table;
 use sagemast::Balancer;
 use sagemast::api::*;
-use sagemast::settings::{Column, Config as SettingsObject, report_from_text};
+use sagemast::settings::{Column, PlatformSettings as SettingsObject, report_from_text};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
 use tracing::{info, warn};
@@ -229,7 +229,7 @@
             capture.map(|capture| Capture::start(capture, classes(), seed, epoch_unix_ms)).transpose()?;
         let Surroundings { intake, inbox, transport, roster, fleet, wall_clock: _ } = surroundings;
         let acting = fleet.map(|fleet| Acting::start(fleet, setup(&told))).transpose().context("peers")?;
-        let ages = ServerAges::new(epoch_unix_ms, told.safety.warm_up);
+        let ages = ServerAges::new(epoch_unix_ms, told.slow_start.warm_up);
         Ok(Engine {
             module: Balancer::new(told, seed),
             columns: settings.columns(),
@@ -373,9 +373,9 @@
         let classes = &self.intake.names;
         let class = request.and_then(|request| classes.class_of(&request.target));
         let listed = match &event {
-            Event::Listed(ListNews::Restored(list) | ListNews::Complete(list) | ListNews::Changed(list)) => {
-                &list[..]
-            }
+            Event::Listed(
+                ListUpdate::Restored(list) | ListUpdate::Complete(list) | ListUpdate::Changed(list),
+            ) => &list[..],
             _ => &[],
         };
         let about = About {
@@ -414,7 +414,7 @@
                 let text = text.as_ref().and_then(|answer| std::str::from_utf8(&answer.body).ok());
                 let report = text.and_then(|text| report_from_text(&self.columns, text));
                 self.counters.probe_ended(status, report.is_some());
-                self.event(Event::Probed { upstream, answered, report });
+                self.event(Event::LoadPolled { upstream, answered, report });
             }
             Happening::Listed(list) => self.listed(list, false),
             Happening::Moved(roster) => {
@@ -482,7 +482,11 @@
         self.open.insert(request, open);
         let time_left = deadline.saturating_duration_since(Instant::now()).as_secs_f64() * 1e3;
         let repeat = kept.is_repeat();
-        self.event_of(Event::Arrived { request, class, tenant, time_left, repeat }, Some(&kept), None);
+        self.event_of(
+            Event::Arrived { request, class, tenant, time_left, is_retry: repeat },
+            Some(&kept),
+            None,
+        );
     }
 
     /// Tells the module that a request is over without it, and ends what is out for it.
@@ -502,7 +506,8 @@
     fn finish(&mut self, request: RequestId, answer: Final) -> bool {
         let Some(open) = self.open.remove(&request) else { return false };
         self.timers.remove(&open.timer);
-        let aim = self.module.classes().get(open.class.0).map_or(Millis::INFINITY, |class| class.aim);
+        let aim =
+            self.module.classes().get(open.class.0).map_or(Millis::INFINITY, |class| class.latency_objective);
         let tally = self.counters.of(open.class);
         match &answer {
             Final::Served(..) => {
@@ -541,7 +546,7 @@
             Action::Fail(request) => {
                 self.finish(request, Final::Failed);
             }
-            Action::Probe(upstream) => self.probe(upstream),
+            Action::PollLoad(upstream) => self.probe(upstream),
             Action::WakeAt { at, token } => {
                 let after = Duration::try_from_secs_f64(at / 1e3).unwrap_or_default();
                 let at = self.epoch.checked_add(after).unwrap_or_else(Instant::now);
--- a/crates/node/src/fronts/http/request.rs
+++ b/crates/node/src/fronts/http/request.rs
@@ -138,12 +138,14 @@
     // The method tells whether a repeat does harm. One that does not fit its class comes from no client of ours,
     // and must reach no upstream.
     match (request.method(), names.classes[class].1) {
-        (&Method::GET, Effect::Repeatable) | (&Method::POST, Effect::ByKey { .. }) if keyed => {}
-        (&Method::GET, Effect::Repeatable) | (&Method::POST, Effect::Once) if !keyed => {}
+        (&Method::GET, Idempotency::Idempotent) | (&Method::POST, Idempotency::ByKey { .. }) if keyed => {}
+        (&Method::GET, Idempotency::Idempotent) | (&Method::POST, Idempotency::NotIdempotent) if !keyed => {}
         // Without its key upstreams could not drop a repeat.
-        (&Method::POST, Effect::ByKey { .. }) => return Err(bad("Idempotency-Key is missing")),
-        (&Method::POST, Effect::Once) => return Err(bad("Idempotency-Key does not fit the class")),
-        (_, Effect::Repeatable) => return Err((StatusCode::METHOD_NOT_ALLOWED, "use GET")),
+        (&Method::POST, Idempotency::ByKey { .. }) => return Err(bad("Idempotency-Key is missing")),
+        (&Method::POST, Idempotency::NotIdempotent) => {
+            return Err(bad("Idempotency-Key does not fit the class"));
+        }
+        (_, Idempotency::Idempotent) => return Err((StatusCode::METHOD_NOT_ALLOWED, "use GET")),
         _ => return Err((StatusCode::METHOD_NOT_ALLOWED, "use POST")),
     }
     if request.version() == Version::HTTP_11 && single(headers, "host")?.is_none() {
--- a/crates/node/src/module_settings.rs
+++ b/crates/node/src/module_settings.rs
@@ -2,12 +2,12 @@
 
 use routes::Table;
 use sagemast::api::Settings;
-use sagemast::settings::Config;
+use sagemast::settings::PlatformSettings;
 
 use crate::routing::{Routing, platform};
 
 /// The settings in the module's terms, as they hold on real sockets, and the routes that became classes in them.
-pub fn module_settings(settings: &Config, table: Table) -> (Settings, Routing) {
+pub fn module_settings(settings: &PlatformSettings, table: Table) -> (Settings, Routing) {
     let mut told = settings.settings();
     // The module keeps one tick in hand before a key's window ends, since in the simulator a send is on
     // its way at once. Here it may first have to connect.
--- a/crates/node/src/operator/peers.rs
+++ b/crates/node/src/operator/peers.rs
@@ -6,7 +6,7 @@
 
 use ::peers::api;
 use anyhow::{Context, Result, bail};
-use sagemast::settings::Config as SettingsObject;
+use sagemast::settings::PlatformSettings as SettingsObject;
 use schemars::JsonSchema;
 use serde::Deserialize;
 
@@ -223,7 +223,7 @@
                 })
                 .collect::<Result<_>>()?,
             classes: classes
-                .map(|class| api::ClassWorth { worth: class.worth, by_work: told.worth_by_work })
+                .map(|class| api::ClassWorth { worth: class.priority_weight, by_work: told.weight_per_work })
                 .collect(),
             class_floor: self.class_floor,
             budgets: api::Budgets { retries: self.budgets.retries, copies: self.budgets.copies },
--- a/crates/node/src/operator/residency.rs
+++ b/crates/node/src/operator/residency.rs
@@ -6,8 +6,8 @@
 use routes::Table;
 use routes::matching::{Match, left_over};
 use routes::policy::Platform;
-use sagemast::api::{self, Effect};
-use sagemast::settings::Config as SettingsObject;
+use sagemast::api::{self, Idempotency};
+use sagemast::settings::PlatformSettings as SettingsObject;
 
 use super::Operator;
 
@@ -62,11 +62,11 @@
 impl Facts {
     /// What the settings say.
     pub fn new(settings: &SettingsObject) -> Facts {
-        let scope = |effect: &Effect| match effect {
-            Effect::Repeatable | Effect::Once => Scope::Free,
-            Effect::ByKey { scope: api::Scope::All, .. } => Scope::All,
-            Effect::ByKey { scope: api::Scope::Zone, .. } => Scope::Zone,
-            Effect::ByKey { scope: api::Scope::Cell, .. } => Scope::Cell,
+        let scope = |effect: &Idempotency| match effect {
+            Idempotency::Idempotent | Idempotency::NotIdempotent => Scope::Free,
+            Idempotency::ByKey { scope: api::DedupScope::All, .. } => Scope::All,
+            Idempotency::ByKey { scope: api::DedupScope::Zone, .. } => Scope::Zone,
+            Idempotency::ByKey { scope: api::DedupScope::Cell, .. } => Scope::Cell,
         };
         let classes = settings.classes();
         Facts {
--- a/crates/node/src/replay.rs
+++ b/crates/node/src/replay.rs
@@ -239,7 +239,7 @@
             Some(Action::Cancel { attempt, .. }) => format!("cancel attempt={}", attempt.0),
             Some(Action::Refuse { retry_after, .. }) => format!("refuse retry_after={retry_after}"),
             Some(Action::Fail(_)) => "fail".to_owned(),
-            Some(Action::Probe(upstream)) => format!("probe {}", host(upstream)),
+            Some(Action::PollLoad(upstream)) => format!("probe {}", host(upstream)),
             Some(Action::WakeAt { at, token }) => format!("wake token={token} at={at}"),
             Some(Action::Log { text, .. }) => format!("log {text}"),
         }
@@ -251,13 +251,13 @@
     match event {
         Event::Arrived { request, .. } | Event::Abandoned(request) => Some(*request),
         Event::Finished(end) => Some(end.request),
-        Event::Probed { .. }
+        Event::LoadPolled { .. }
         | Event::Listed(_)
         | Event::Woke(_)
         | Event::Guided(_)
         | Event::Reported { .. }
-        | Event::Tried { .. }
-        | Event::Within(_) => None,
+        | Event::EjectionProbeEnded { .. }
+        | Event::ResidencyChanged(_) => None,
     }
 }
 
@@ -267,7 +267,7 @@
             Some(*request)
         }
         Action::Fail(request) => Some(*request),
-        Action::Probe(_) | Action::WakeAt { .. } | Action::Log { .. } => None,
+        Action::PollLoad(_) | Action::WakeAt { .. } | Action::Log { .. } => None,
     }
 }
 
@@ -276,7 +276,7 @@
     let kind = match action {
         Action::Send { .. } | Action::Refuse { .. } | Action::Fail(_) => 0,
         Action::Cancel { .. } => 1,
-        Action::Probe(_) => 2,
+        Action::PollLoad(_) => 2,
         Action::WakeAt { .. } => 3,
         Action::Log { .. } => 4,
     };
--- a/crates/node/src/replay/tests.rs
+++ b/crates/node/src/replay/tests.rs
@@ -52,7 +52,7 @@
 fn a_changed_setting_shows_its_lines_with_their_ids() {
     for text in captures() {
         let mut changed = settings();
-        changed.limits.probes = false;
+        changed.limits.load_polls = false;
         let (tally, lines) = of(&[&text], changed);
         assert!(tally.differences > 0 && lines.len() as u64 == tally.differences, "{tally:?}");
         let whole = |line: &String| {
--- a/crates/node/src/routing.rs
+++ b/crates/node/src/routing.rs
@@ -8,24 +8,24 @@
 use routes::Table;
 use routes::policy::{Budget, Effect, Platform, PlatformClass};
 use sagemast::api::{self, Class, ClassId, Settings};
-use sagemast::settings::Config;
+use sagemast::settings::PlatformSettings;
 
 /// The platform, as routes are checked against it.
-pub fn platform(settings: &Config) -> Platform {
+pub fn platform(settings: &PlatformSettings) -> Platform {
     let told = settings.settings();
-    let class = |((name, effect), client_limit_ms): ((String, api::Effect), f64)| PlatformClass {
+    let class = |((name, effect), client_limit_ms): ((String, api::Idempotency), f64)| PlatformClass {
         name,
         effect: match effect {
-            api::Effect::Repeatable => Effect::Repeatable,
-            api::Effect::ByKey { window, .. } => Effect::ByKey { window_ms: window },
-            api::Effect::Once => Effect::Once,
+            api::Idempotency::Idempotent => Effect::Repeatable,
+            api::Idempotency::ByKey { window, .. } => Effect::ByKey { window_ms: window },
+            api::Idempotency::NotIdempotent => Effect::Once,
         },
         client_limit_ms,
     };
     Platform {
-        classes: settings.classes().into_iter().zip(settings.client_limits_ms()).map(class).collect(),
+        classes: settings.classes().into_iter().zip(settings.client_deadlines_ms()).map(class).collect(),
         max_attempts: told.limits.max_attempts,
-        duplicates: told.limits.duplicates,
+        duplicates: told.limits.concurrent_attempts,
         connect_timeout_ms: settings.connect_timeout_ms(),
     }
 }
@@ -62,7 +62,7 @@
         let Change { classes, retry_budget, copy_budget } = routing.change(table, &[], |_| true);
         settings.classes.extend(classes.into_iter().map(|(_, class, _)| class));
         settings.retry_budget = retry_budget;
-        settings.copy_budget = copy_budget;
+        settings.hedge_budget = copy_budget;
         routing
     }
 
@@ -79,8 +79,8 @@
                     continue;
                 }
                 let own = self.own[index].clone();
-                let worth = route.policy.worth.unwrap_or(own.worth);
-                let becomes = Class { worth, policy: route.policy.clone(), ..own };
+                let worth = route.policy.worth.unwrap_or(own.priority_weight);
+                let becomes = Class { priority_weight: worth, policy: route.policy.clone(), ..own };
                 let name = format!("{}/{}", class.name, route.name);
                 // A route's name is its identity, whatever it matches.
                 let before = held.get(name.as_str()).copied();
@@ -178,7 +178,7 @@
 
     impl Stage {
         fn new(routes: &[(&str, u32)]) -> Stage {
-            let config: Config = serde_json::from_str(CONFIG).expect("settings");
+            let config: PlatformSettings = serde_json::from_str(CONFIG).expect("settings");
             let platform = platform(&config);
             let mut settings = config.settings();
             let routing = Routing::new(table(&platform, routes), platform, &mut settings);
--- a/crates/node/src/transports/http1/settings.rs
+++ b/crates/node/src/transports/http1/settings.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sagemast::settings::Config as PlatformSettings;
+use sagemast::settings::PlatformSettings;
 
 /// Idle connections are closed after this share of the time that upstreams keep them.
 const IDLE_SHARE: f64 = 0.7;
--- a/crates/sagemast/benches/pick.rs
+++ b/crates/sagemast/benches/pick.rs
@@ -24,19 +24,24 @@
 fn settings() -> Settings {
     Settings {
         classes: vec![Class {
-            aim: 600.0,
-            worth: 1.0,
-            late_worth: 0.0,
-            effect: Effect::Once,
+            latency_objective: 600.0,
+            priority_weight: 1.0,
+            late_weight: 0.0,
+            idempotency: Idempotency::NotIdempotent,
             policy: Default::default(),
         }],
         sidecars: 4,
-        crossing_fee: 0.02,
-        probe_fee: 0.0,
-        limits: Limits { max_attempts: 4, probes: true, tick: 5.0, ..Limits::default() },
-        safety: Safety { cold_share: 0.3, warm_up: 8_000.0, fall_multiple: 3.0, fall: 2_000.0 },
-        sizes_listed: true,
-        worth_by_work: false,
+        cross_zone_cost: 0.02,
+        load_poll_cost: 0.0,
+        limits: Limits { max_attempts: 4, load_polls: true, tick: 5.0, ..Limits::default() },
+        slow_start: SlowStartRules {
+            initial_share: 0.3,
+            warm_up: 8_000.0,
+            overload_multiple: 3.0,
+            overload_window: 2_000.0,
+        },
+        weights_are_capacities: true,
+        weight_per_work: false,
         ..Settings::default()
     }
 }
@@ -54,26 +59,31 @@
         started: None,
     };
     let mut out = Vec::new();
-    balancer.handle(0.0, Event::Listed(ListNews::Complete((0..size).map(listing).collect())), &mut out);
+    balancer.handle(0.0, Event::Listed(ListUpdate::Complete((0..size).map(listing).collect())), &mut out);
     (0..size).for_each(|id| balancer.handle(1.0, report(id, id as f64), &mut out));
     balancer
 }
 
 fn report(id: u64, served: f64) -> Event {
-    let report = Report {
+    let report = LoadReport {
         in_flight: Some((id % 3) as f64),
         utilisation: Some(0.4),
         served_per_s: Some(served),
         errors_per_s: None,
     };
-    Event::Probed { upstream: UpstreamId(id), answered: true, report: Some(report) }
+    Event::LoadPolled { upstream: UpstreamId(id), answered: true, report: Some(report) }
 }
 
 /// A request comes, is sent, answered, and one server reports.
 fn a_request(balancer: &mut Balancer, number: u64, size: u64, out: &mut Vec<Action>) {
     let (now, request) = (10.0 + number as f64, RequestId(number));
-    let arrived =
-        Event::Arrived { request, class: ClassId(0), tenant: TenantId(0), time_left: 1_500.0, repeat: false };
+    let arrived = Event::Arrived {
+        request,
+        class: ClassId(0),
+        tenant: TenantId(0),
+        time_left: 1_500.0,
+        is_retry: false,
+    };
     balancer.handle(now, arrived, out);
     let sent = out.iter().find_map(|action| match action {
         Action::Send { upstream, .. } => Some(*upstream),
@@ -83,7 +93,7 @@
     let Some(upstream) = sent else { return };
     let (attempt, latency) = (AttemptNo(0), 0.5);
     let outcome = Outcome::Ok;
-    let end = Finished { request, attempt, upstream, outcome, latency, closed: true, report: None };
+    let end = Finished { request, attempt, upstream, outcome, latency, request_closed: true, report: None };
     balancer.handle(now + latency, Event::Finished(end), out);
     // A step that has no factor in common with the sizes goes through all servers.
     balancer.handle(now + latency, report(number * 7_919 % size, number as f64), out);
--- a/crates/sagemast/src/api.rs
+++ b/crates/sagemast/src/api.rs
@@ -48,7 +48,7 @@
 
 /// Which servers discard repeats of a keyed request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Scope {
+pub enum DedupScope {
     /// Every server.
     All,
     /// The servers of the zone that may have run it.
@@ -59,31 +59,31 @@
 
 /// What running a request twice would do.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Effect {
+pub enum Idempotency {
     /// No harm.
-    Repeatable,
+    Idempotent,
     /// No harm within the scope and for the window counted from the first send that may have run.
     ByKey {
         /// Who discards repeats.
-        scope: Scope,
+        scope: DedupScope,
         /// For how long.
         window: Millis,
     },
     /// Must never run twice.
-    Once,
+    NotIdempotent,
 }
 
 /// A class of requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
     /// Answers within this time earn the full worth.
-    pub aim: Millis,
+    pub latency_objective: Millis,
     /// What an answer in time is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// The share of the worth that a later answer still earns.
-    pub late_worth: f64,
+    pub late_weight: f64,
     /// Whether it may run again.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// What its route sets beyond that; the module decides all that it leaves out.
     pub policy: Policy,
 }
@@ -108,9 +108,9 @@
     /// Sends of one request, at most.
     pub max_attempts: u32,
     /// Whether two attempts of one request may be out at the same time.
-    pub duplicates: bool,
+    pub concurrent_attempts: bool,
     /// Whether probes may be sent.
-    pub probes: bool,
+    pub load_polls: bool,
     /// Whether attempts may be cancelled.
     pub cancel: bool,
     /// The longest wait that clients heed when refused; 0 where they heed none.
@@ -121,15 +121,15 @@
 
 /// The figures of the two rules about servers that leave or have just started.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Safety {
+pub struct SlowStartRules {
     /// A server starts with at least this share of its capacity.
-    pub cold_share: f64,
+    pub initial_share: f64,
     /// And has all of it after this long.
     pub warm_up: Millis,
     /// Sent more than this multiple of its present capacity...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ...for this long, a cold server falls over.
-    pub fall: Millis,
+    pub overload_window: Millis,
 }
 
 /// What the module is told at start. It never learns names.
@@ -140,37 +140,37 @@
     /// Tenants, by [`TenantId`]; may be empty.
     pub tenants: Vec<Tenant>,
     /// The share of its worth that a request above its tenant's quota keeps.
-    pub over_quota_worth: f64,
+    pub over_quota_weight: f64,
     /// The zone of this sidecar.
     pub zone: ZoneId,
     /// How many sidecars there are, this one included.
     pub sidecars: u32,
     /// What one zone crossing costs, as a fraction of a mean request's worth.
-    pub crossing_fee: f64,
+    pub cross_zone_cost: f64,
     /// What one probe costs, likewise.
-    pub probe_fee: f64,
+    pub load_poll_cost: f64,
     /// Allowances.
     pub limits: Limits,
     /// Rule figures.
-    pub safety: Safety,
+    pub slow_start: SlowStartRules,
     /// Whether listed weights are sizes: how many requests a server works on at once, give or take.
-    pub sizes_listed: bool,
+    pub weights_are_capacities: bool,
     /// Whether a class's worth is that of a unit of work and not of a request.
-    pub worth_by_work: bool,
-    /// How many retries there may be over all classes; [`RETRIES`] where nothing is said.
+    pub weight_per_work: bool,
+    /// How many retries there may be over all classes; [`DEFAULT_RETRY_BUDGET`] where nothing is said.
     pub retry_budget: Option<Budget>,
     /// How many second copies; where nothing is said, as many as those of the classes come to.
-    pub copy_budget: Option<Budget>,
+    pub hedge_budget: Option<Budget>,
 }
 
 /// Further attempts that all requests may have together, where the operators say nothing: a share of first ones, and
 /// so many saved up.
-pub const RETRIES: Budget = Budget { share: Share(0.1), burst: 10 };
+pub const DEFAULT_RETRY_BUDGET: Budget = Budget { share: Share(0.1), burst: 10 };
 
 impl Settings {
     /// How many retries and second copies all requests may have together.
     pub fn budgets(&self) -> Budgets {
-        [Some(self.retry_budget.unwrap_or(RETRIES)), self.copy_budget]
+        [Some(self.retry_budget.unwrap_or(DEFAULT_RETRY_BUDGET)), self.hedge_budget]
     }
 }
 
@@ -181,7 +181,8 @@
     /// It does.
     Serving,
     /// It finishes what it has, or is gone: nothing new goes there.
-    Leaving,
+    #[serde(rename = "leaving")]
+    Draining,
 }
 
 /// A server as discovery lists it.
@@ -206,7 +207,7 @@
 /// News from discovery.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum ListNews {
+pub enum ListUpdate {
     /// The complete list as last held before a restart; may be old.
     Restored(Vec<Listing>),
     /// The complete list; who is missing is gone.
@@ -217,7 +218,7 @@
 
 /// A server's own report of its load. Any figure may be missing or absurd.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
-pub struct Report {
+pub struct LoadReport {
     /// Requests it holds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub in_flight: Option<f64>,
@@ -289,10 +290,11 @@
     /// Time since the send.
     pub latency: Millis,
     /// Whether the client has its final answer.
-    pub closed: bool,
+    #[serde(rename = "closed")]
+    pub request_closed: bool,
     /// A report that came with it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 /// What the sidecars of a fleet agreed on. What is absent leaves the module to itself. A checkpoint holds it in a form
@@ -300,26 +302,26 @@
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Guidance {
     /// By [`ClassId`], the chance that an arrival may be sent at all; a class without one always may.
-    #[serde(default)]
-    pub admit: Vec<f64>,
+    #[serde(default, rename = "admit")]
+    pub admit_probability: Vec<f64>,
     /// Retries that all classes together may make, in place of what the settings say.
-    #[serde(default)]
-    pub retries: Option<Allowance>,
+    #[serde(default, rename = "retries")]
+    pub retry_budget: Option<Allowance>,
     /// Second copies, likewise.
-    #[serde(default)]
-    pub copies: Option<Allowance>,
+    #[serde(default, rename = "copies")]
+    pub hedge_budget: Option<Allowance>,
     /// Servers whose load this sidecar asks for, and no others.
-    #[serde(default)]
-    pub probes: Option<BTreeSet<UpstreamId>>,
+    #[serde(default, rename = "probes")]
+    pub load_poll_targets: Option<BTreeSet<UpstreamId>>,
     /// Ejected servers that this sidecar tries again, and no others.
-    #[serde(default)]
-    pub trials: Option<BTreeSet<UpstreamId>>,
+    #[serde(default, rename = "trials")]
+    pub ejection_probe_targets: Option<BTreeSet<UpstreamId>>,
     /// What it may send cold servers, instead of going by chance; nothing to those that are not named.
-    #[serde(default, with = "crate::exact::pairs")]
-    pub cold: Option<BTreeMap<UpstreamId, ColdLease>>,
+    #[serde(default, rename = "cold", with = "crate::exact::pairs")]
+    pub slow_start_leases: Option<BTreeMap<UpstreamId, SlowStartLease>>,
     /// Where in the span that refused clients are asked to stay away theirs lie: from and to, as shares of it.
-    #[serde(default)]
-    pub come_back: Option<[f64; 2]>,
+    #[serde(default, rename = "come_back")]
+    pub retry_after_slice: Option<[f64; 2]>,
 }
 
 /// Further sends, as a share of first ones, and so many saved up.
@@ -339,7 +341,7 @@
 
 /// What one sidecar may send a cold server.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct ColdLease {
+pub struct SlowStartLease {
     /// So many whole requests. One lease is told again as it was given: what was sent of it stays sent while its end
     /// is the same.
     pub requests: u32,
@@ -351,7 +353,8 @@
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Residency {
     /// The zones of each ring; one without zones lets nothing through.
-    pub rings: Vec<BTreeSet<ZoneId>>,
+    #[serde(rename = "rings")]
+    pub zone_sets: Vec<BTreeSet<ZoneId>>,
     /// By [`ClassId`], the place of its ring; `None` where it may go anywhere. A class past the end, or a ring
     /// that is not there, may go nowhere: it is new, and its rules have not been told yet.
     pub classes: Vec<Option<usize>>,
@@ -374,7 +377,7 @@
 
 impl Reason {
     /// Whether it is the usual one, which needs no word.
-    pub fn is_usual(&self) -> bool {
+    pub fn is_overload(&self) -> bool {
         *self == Reason::Overload
     }
 }
@@ -394,25 +397,26 @@
         /// How long the client waits.
         time_left: Millis,
         /// Whether the client says that it tries again.
-        #[serde(default)]
-        repeat: bool,
+        #[serde(default, rename = "repeat")]
+        is_retry: bool,
     },
     /// An attempt ended; each [`Action::Send`] gets this once.
     Finished(Finished),
     /// The client left; nothing more is owed.
     Abandoned(RequestId),
     /// A probe came back.
-    Probed {
+    #[serde(rename = "probed")]
+    LoadPolled {
         /// Who was asked.
         upstream: UpstreamId,
         /// Whether it answered.
         answered: bool,
         /// Its report.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     /// News from discovery.
-    Listed(ListNews),
+    Listed(ListUpdate),
     /// A timer set with [`Action::WakeAt`] came due.
     Woke(u64),
     /// What the fleet agreed on, in place of what it said before.
@@ -422,19 +426,22 @@
         /// Whose load it is.
         upstream: UpstreamId,
         /// Its report.
-        report: Report,
+        report: LoadReport,
         /// How long ago it was.
         age: Millis,
     },
     /// Another sidecar's trial of an ejected server ended.
-    Tried {
+    #[serde(rename = "tried")]
+    EjectionProbeEnded {
         /// The server.
         upstream: UpstreamId,
         /// Whether it is back.
-        well: bool,
+        #[serde(rename = "well")]
+        recovered: bool,
     },
     /// Where requests may go from now on.
-    Within(Residency),
+    #[serde(rename = "within")]
+    ResidencyChanged(Residency),
 }
 
 /// Something for the sidecar to do now, in order.
@@ -464,13 +471,14 @@
         /// How long the client should stay away.
         retry_after: Millis,
         /// Why.
-        #[serde(default, skip_serializing_if = "Reason::is_usual")]
+        #[serde(default, skip_serializing_if = "Reason::is_overload")]
         reason: Reason,
     },
     /// Final answer: failed, with no promise about effects.
     Fail(RequestId),
     /// Ask a server for its load.
-    Probe(UpstreamId),
+    #[serde(rename = "probe")]
+    PollLoad(UpstreamId),
     /// Hand back [`Event::Woke`] with this token at this time or soon after.
     WakeAt {
         /// When.
--- a/crates/sagemast/src/brain.rs
+++ b/crates/sagemast/src/brain.rs
@@ -12,8 +12,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::api::*;
-use crate::fleet::Fleet;
-use crate::groups::{From, Pool};
+use crate::endpoints::Endpoints;
+use crate::groups::{DrawFrom, Pool};
 use crate::guided::Guided;
 use crate::slow_start::SlowStart;
 use crate::state::*;
@@ -118,7 +118,7 @@
     pub(crate) rng: Rand64,
     pub(crate) now: Millis,
     pub(crate) requests: BTreeMap<RequestId, Held>,
-    pub(crate) fleet: Fleet,
+    pub(crate) fleet: Endpoints,
     pub(crate) seen: Learnt,
     pub(crate) guided: Guided,
     pub(crate) slow_start: SlowStart,
@@ -128,7 +128,9 @@
     /// A module that knows nothing yet but its settings.
     pub fn new(settings: Settings, seed: u64) -> Balancer {
         // Until answers tell, a service time that leaves room for a queue and another try.
-        let service = |class: &Class| Service::new(class.aim * SERVICE_PRIOR, Purse::full(class.budgets()));
+        let service = |class: &Class| {
+            Service::new(class.latency_objective * SERVICE_PRIOR, Purse::full(class.budgets()))
+        };
         let service = settings.classes.iter().map(service).collect();
         let seen = Learnt::new(service, settings.tenants.len(), Purse::full(settings.budgets()));
         Balancer {
@@ -136,7 +138,7 @@
             rng: Rand64::new(u128::from(seed)),
             now: 0.0,
             requests: BTreeMap::new(),
-            fleet: Fleet::new(seed),
+            fleet: Endpoints::new(seed),
             seen,
             guided: Guided::default(),
             slow_start: SlowStart::new(seed),
@@ -146,11 +148,11 @@
     /// Takes in one event and appends the actions that answer it.
     pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        self.fleet.pass_time(self.now, &self.settings.safety);
-        self.slow_start.begin(self.now);
+        self.fleet.advance_time(self.now, &self.settings.slow_start);
+        self.slow_start.record_first_event(self.now);
         match event {
-            Event::Arrived { request, class, tenant, time_left, repeat } => {
-                let earned = if repeat { 0.0 } else { PROBES_WORTH / self.settings.probe_fee };
+            Event::Arrived { request, class, tenant, time_left, is_retry: repeat } => {
+                let earned = if repeat { 0.0 } else { PROBES_WORTH / self.settings.load_poll_cost };
                 self.seen.probes = (self.seen.probes + earned).min(PROBES_SAVED);
                 self.arrived(request, Held::new(class, tenant, self.now, time_left.max(0.0)), out)
             }
@@ -159,7 +161,7 @@
                 self.finished(end, out);
             }
             Event::Abandoned(request) => self.abandoned(request, out),
-            Event::Probed { upstream, answered, report } => self.probed(upstream, answered, report),
+            Event::LoadPolled { upstream, answered, report } => self.probed(upstream, answered, report),
             Event::Listed(news) => self.listed(news),
             Event::Guided(told) => {
                 let before = self.budgets();
@@ -167,9 +169,9 @@
                 self.seen.purse = self.seen.purse.within(before, self.budgets());
             }
             Event::Reported { upstream, report, age } => self.take_report(upstream, report, age),
-            Event::Tried { upstream, well } => self.tried(upstream, well),
-            Event::Within(residency) => {
-                self.fleet.bound(&residency.rings);
+            Event::EjectionProbeEnded { upstream, recovered: well } => self.tried(upstream, well),
+            Event::ResidencyChanged(residency) => {
+                self.fleet.set_zone_sets(&residency.zone_sets);
                 self.guided.within = Some(residency);
                 self.choose_subset();
             }
@@ -194,7 +196,7 @@
         let density = self.density(held.class);
         let usual = self.seen.usual_density.get_or_insert(density);
         *usual += SMOOTH_ALL * (density - *usual);
-        self.slow_start.arrived(id, class.aim * SERVICE_PRIOR);
+        self.slow_start.record_arrival(id, class.latency_objective * SERVICE_PRIOR);
         self.requests.insert(request, held);
         // Asked whether or not they are drawn: the others hear of these servers by this sidecar alone.
         self.guided.duty().into_iter().for_each(|id| self.probe(id, out));
@@ -210,8 +212,8 @@
         let to = self.choose(request, &held, out);
         self.seen.refused += SMOOTH_ALL * (f64::from(u8::from(to.is_none())) - self.seen.refused);
         match to {
-            Some(to) => self.send(request, to, self.fleet.serving(self.guided.ring(&held)) > 1, out),
-            None => self.give_up(request, self.fleet.lack(self.guided.ring(&held)), out),
+            Some(to) => self.send(request, to, self.fleet.serving_count(self.guided.ring(&held)) > 1, out),
+            None => self.give_up(request, self.fleet.refusal_reason(self.guided.ring(&held)), out),
         }
     }
 
@@ -237,12 +239,12 @@
             }
             let from = match within {
                 // A near server that has room answers sooner; its limit keeps it from being filled up.
-                From::Ready if round == 0 && self.settings.crossing_fee > 0.0 => From::Near,
+                DrawFrom::Ready if round == 0 && self.settings.cross_zone_cost > 0.0 => DrawFrom::LocalWarm,
                 // What a cold pair must not be sent yet goes to warm servers: clients would only ask again.
-                From::Ready if cold_drawn => From::Warm,
+                DrawFrom::Ready if cold_drawn => DrawFrom::Warm,
                 within => within,
             };
-            let drawn = self.draw(ring, from, round, held);
+            let drawn = self.draw_candidates(ring, from, round, held);
             let Some(ids) = drawn.map(|drawn| drawn.map(|to| to.map(|to| to.id))) else { continue };
             last = drawn.unwrap_or_default();
             let mut by_use = last;
@@ -251,12 +253,12 @@
                 // One that has just failed this request is the likeliest to fail it again.
                 let failed = spared && held.tries.iter().any(|t| t.upstream == to.id);
                 let others = to.pool == Pool::Trial && !self.guided.tries(to.id);
-                let waits = (to.pool == Pool::Waiting || others) && from != From::Everyone;
+                let waits = (to.pool == Pool::Waiting || others) && from != DrawFrom::AllServing;
                 if failed || waits || to.shut || !(to.idle || favoured && fits(&to)) {
                     continue;
                 }
                 cold_drawn |= to.pool == Pool::Cold;
-                if self.admits(&to) {
+                if self.slow_start_admits(&to) {
                     ids.into_iter().flatten().for_each(|id| self.probe(id, out));
                     return Some(to);
                 }
@@ -269,21 +271,23 @@
     }
 
     /// Whom a request may go to, by what may have run already.
-    fn reach(&self, ring: Option<usize>, held: &Held) -> Option<From> {
+    fn reach(&self, ring: Option<usize>, held: &Held) -> Option<DrawFrom> {
         // Everyone looks bad: rather ask someone than no one.
         let healthy = self.fleet.count(ring, &[Pool::Warm, Pool::Cold]) > 0;
-        let anyone = Some(if healthy { From::Ready } else { From::Everyone });
+        let anyone = Some(if healthy { DrawFrom::Ready } else { DrawFrom::AllServing });
         let Some(first) = held.tries.iter().find(|t| t.out || t.may_have_run) else { return anyone };
-        match self.settings.classes[held.class.0].effect {
-            Effect::Repeatable => anyone,
-            Effect::Once => None,
+        match self.settings.classes[held.class.0].idempotency {
+            Idempotency::Idempotent => anyone,
+            Idempotency::NotIdempotent => None,
             // The window counts from the first send that may have run; a tick is kept in hand.
-            Effect::ByKey { window, .. } if self.now + self.settings.limits.tick >= first.sent + window => {
+            Idempotency::ByKey { window, .. }
+                if self.now + self.settings.limits.tick >= first.sent + window =>
+            {
                 None
             }
-            Effect::ByKey { scope: Scope::All, .. } => anyone,
-            Effect::ByKey { scope: Scope::Zone, .. } => Some(From::Zone(first.zone)),
-            Effect::ByKey { scope: Scope::Cell, .. } => Some(From::Cell(first.cell)),
+            Idempotency::ByKey { scope: DedupScope::All, .. } => anyone,
+            Idempotency::ByKey { scope: DedupScope::Zone, .. } => Some(DrawFrom::Zone(first.zone)),
+            Idempotency::ByKey { scope: DedupScope::Cell, .. } => Some(DrawFrom::Cell(first.cell)),
         }
     }
 
@@ -317,8 +321,8 @@
 
     /// What a request of a class earns for its service time, which a worth that counts by work has in it.
     fn density(&self, class: ClassId) -> f64 {
-        let work = if self.settings.worth_by_work { 1.0 } else { self.seen.service[class.0].time.max(1.0) };
-        self.settings.classes[class.0].worth.max(f64::MIN_POSITIVE) / work
+        let work = if self.settings.weight_per_work { 1.0 } else { self.seen.service[class.0].time.max(1.0) };
+        self.settings.classes[class.0].priority_weight.max(f64::MIN_POSITIVE) / work
     }
 
     /// The share of its class's worth that a request earns. No sidecar can know which tenants are over their
@@ -328,25 +332,27 @@
         let quota = self.settings.tenants.get(held.tenant.0).map_or(0.0, |tenant| tenant.quota_per_s);
         let share = self.seen.tenant_shares.get(held.tenant.0).copied().unwrap_or(0.0);
         let within = if quota > 0.0 && share > 0.0 { (quota / quotas / share).min(1.0) } else { 1.0 };
-        within + (1.0 - within) * self.settings.over_quota_worth
+        within + (1.0 - within) * self.settings.over_quota_weight
     }
 
     /// Time until the answer loses its worth.
     pub(crate) fn aim_left(&self, held: &Held) -> Millis {
-        held.deadline.min(held.arrived + self.settings.classes[held.class.0].aim) - self.now
+        held.deadline.min(held.arrived + self.settings.classes[held.class.0].latency_objective) - self.now
     }
 
     /// Ends a request: refused where that is safe to say, else failed.
     fn give_up(&mut self, request: RequestId, reason: Reason, out: &mut Vec<Action>) {
         let Some(held) = self.requests.remove(&request) else { return };
-        let safe = match self.settings.classes[held.class.0].effect {
-            Effect::Repeatable | Effect::ByKey { scope: Scope::All, .. } => true,
-            Effect::ByKey { .. } | Effect::Once => !held.tries.iter().any(|t| t.may_have_run),
+        let safe = match self.settings.classes[held.class.0].idempotency {
+            Idempotency::Idempotent | Idempotency::ByKey { scope: DedupScope::All, .. } => true,
+            Idempotency::ByKey { .. } | Idempotency::NotIdempotent => {
+                !held.tries.iter().any(|t| t.may_have_run)
+            }
         };
         if safe {
             // Soon enough to make its aim yet, and spread: all that were refused together come back.
             let spread = self.guided.come_back(self.rng.rand_float());
-            let soon = RETRY_AFTER * self.settings.classes[held.class.0].aim * spread;
+            let soon = RETRY_AFTER * self.settings.classes[held.class.0].latency_objective * spread;
             let retry_after = soon.min(self.settings.limits.max_retry_after);
             out.push(Action::Refuse { request, retry_after, reason });
         } else {
@@ -360,7 +366,7 @@
     pub(crate) fn look(&self, id: UpstreamId, held: &Held) -> Option<Candidate> {
         let server = self.fleet.get(id).filter(|server| self.guided.allows(held, server.zone))?;
         let (in_flight, kappa) = (self.in_flight(server), self.kappa(server));
-        let warmth = server.warmth(self.now, &self.settings.safety);
+        let warmth = server.warmth(self.now, &self.settings.slow_start);
         let slowness = self.slowness(server) / warmth;
         let used = (in_flight + 1.0) / kappa;
         let depth = used.max(1.0);
@@ -390,14 +396,14 @@
     /// Whether κ is known well enough to hold a server to it.
     fn sized(&self, upstream: &Upstream) -> bool {
         let calm = self.seen.kinds.get(&upstream.kind).map_or(0.0, |kind| kind.calm);
-        self.settings.sizes_listed || calm >= CALM_ENOUGH
+        self.settings.weights_are_capacities || calm >= CALM_ENOUGH
     }
 
     /// m: what others have there by its reports, and our own sends, of which we know at once. An unheard
     /// server takes the mean of the known ones.
     fn in_flight(&self, upstream: &Upstream) -> f64 {
         let age = (self.now - upstream.reported_at - STALE).max(0.0);
-        let (usual, told) = self.others(upstream);
+        let (usual, told) = self.others_in_flight(upstream);
         let others = usual + (told - usual) * (-age / FORGET).exp();
         // What is out for long while the server answers others is lost or hangs, and holds no place there.
         let longest = self.seen.service.iter().map(|service| service.time).fold(1.0, f64::max);
@@ -429,13 +435,13 @@
     }
 
     fn probe(&mut self, id: UpstreamId, out: &mut Vec<Action>) {
-        let asks = self.guided.asks(id) && self.settings.limits.probes && self.seen.probes >= 1.0;
+        let asks = self.guided.asks(id) && self.settings.limits.load_polls && self.seen.probes >= 1.0;
         let Some(upstream) = self.fleet.get_mut(id).filter(|server| asks && server.serving) else { return };
         let waiting = upstream.probe_sent.is_some_and(|sent| self.now - sent < STALE);
         if !waiting && self.now - upstream.reported_at > FRESH {
             upstream.probe_sent = Some(self.now);
             self.seen.probes -= 1.0;
-            out.push(Action::Probe(id));
+            out.push(Action::PollLoad(id));
         }
     }
 
@@ -443,7 +449,7 @@
         let Some(held) = self.requests.get(&request) else { return };
         let timeout = self.timeout(held, to, others);
         let (class, attempt) = (held.class, AttemptNo(held.tries.len() as u32));
-        let may = self.settings.limits.duplicates && held.tries.is_empty();
+        let may = self.settings.limits.concurrent_attempts && held.tries.is_empty();
         if let Some(copy) = self.settings.classes[class.0].policy.second_copy.filter(|_| may) {
             let after = copy.after.ms(self.seen.service[class.0].late);
             out.push(Action::WakeAt { at: self.now + after, token: request.0 << 1 | 1 });
@@ -456,9 +462,9 @@
         }
         self.guided.sent(&to);
         if to.warmth < 1.0 {
-            self.slow_start.sent(to.id, self.now, self.settings.safety.fall);
+            self.slow_start.record_send(to.id, self.now, self.settings.slow_start.overload_window);
         }
-        self.fleet.settle(to.id, &self.settings.safety);
+        self.fleet.update_pool(to.id, &self.settings.slow_start);
         out.push(Action::Send { request, upstream: to.id, timeout });
     }
 
@@ -467,14 +473,16 @@
     fn timeout(&self, held: &Held, to: Candidate, others: bool) -> Millis {
         let class = &self.settings.classes[held.class.0];
         let most = class.policy.attempt_timeout.map_or(f64::MAX, |most| most.0);
-        let end = if class.late_worth > 0.0 { held.deadline - self.now } else { self.aim_left(held) };
+        let end = if class.late_weight > 0.0 { held.deadline - self.now } else { self.aim_left(held) };
         let left = end.max(0.0).min(most);
         let last = held.tries.len() as u32 + 1 >= self.settings.limits.max_attempts;
         let retries = self.seen.purse.holds(Further::Retry, self.budgets());
-        if last || !others || class.effect == Effect::Once || !retries {
+        if last || !others || class.idempotency == Idempotency::NotIdempotent || !retries {
             return left;
         }
-        let spare = held.arrived + class.aim - self.now - RETRY_ROOM * self.seen.service[held.class.0].time;
+        let spare = held.arrived + class.latency_objective
+            - self.now
+            - RETRY_ROOM * self.seen.service[held.class.0].time;
         spare.max(PATIENCE * to.wait).min(left)
     }
 
@@ -485,12 +493,12 @@
         let Some(this) = held.tries.get_mut(end.attempt.0 as usize).filter(|t| t.out) else { return };
         this.out = false;
         this.may_have_run = outcome.may_have_run();
-        let late = self.now > held.arrived + self.settings.classes[held.class.0].aim;
+        let late = self.now > held.arrived + self.settings.classes[held.class.0].latency_objective;
         let step = if outcome == Outcome::Full { 0.0 } else { SMOOTH_ALL }
             * (LATE_TARGET - f64::from(u8::from(late)));
         self.seen.room_scale = (self.room_scale() * (1.0 + step)).clamp(0.25, 1.0);
         self.seen.room_at = self.now;
-        if end.closed || outcome == Outcome::Ok {
+        if end.request_closed || outcome == Outcome::Ok {
             return self.abandoned(request, out);
         }
         let no_copy_out = |held: &&Held| !held.tries.iter().any(|t| t.out);
@@ -553,8 +561,8 @@
         let Some(upstream) = self.fleet.get_mut(id) else { return };
         let Some(sent) = upstream.take(end.request, end.attempt) else { return };
         let silent = upstream.answered_at <= sent.sent;
-        self.fleet.settle(id, &self.settings.safety);
-        self.fleet.forget(id);
+        self.fleet.update_pool(id, &self.settings.slow_start);
+        self.fleet.remove_if_unused(id);
         // Where a copy has won, the one that it overtook says as much as one whose time was up.
         let copied = self.settings.classes[sent.class.0].policy.second_copy.is_some();
         if matches!(outcome, Outcome::Ok | Outcome::TimedOut) || (copied && outcome == Outcome::Cancelled) {
@@ -603,7 +611,7 @@
     fn learn(&mut self, id: UpstreamId, sent: Outstanding, latency: Millis, answered: bool) {
         // What a cold server takes longer is no sign of crowding, nor of the speed it will have.
         let Some(server) = self.fleet.get(id).filter(|_| latency > 0.0) else { return };
-        let (known, warmth) = (self.remembered(server), server.warmth(self.now, &self.settings.safety));
+        let (known, warmth) = (self.remembered(server), server.warmth(self.now, &self.settings.slow_start));
         let Some(upstream) = self.fleet.get_mut(id) else { return };
         let alone = latency * warmth / sent.to.depth;
         let service = &mut self.seen.service[sent.class.0];
@@ -620,8 +628,8 @@
         if answered && sent.to.depth <= 1.0 {
             service.add(alone, SMOOTH_ALL);
             if warmth >= 1.0 {
-                let assumed = self.settings.classes[sent.class.0].aim * SERVICE_PRIOR;
-                self.slow_start.answered(sent.class, alone, assumed);
+                let assumed = self.settings.classes[sent.class.0].latency_objective * SERVICE_PRIOR;
+                self.slow_start.record_answer(sent.class, alone, assumed);
             }
         }
         let copy = self.settings.classes[sent.class.0].policy.second_copy.filter(|_| answered);
@@ -630,7 +638,7 @@
         }
     }
 
-    fn probed(&mut self, id: UpstreamId, answered: bool, report: Option<Report>) {
+    fn probed(&mut self, id: UpstreamId, answered: bool, report: Option<LoadReport>) {
         let Some(upstream) = self.fleet.get_mut(id) else { return };
         upstream.probe_sent = None;
         if let (Some(report), true) = (report, answered) {
@@ -639,7 +647,7 @@
     }
 
     /// Takes in a server's own figures as they were so long ago, unless newer ones are known.
-    fn take_report(&mut self, id: UpstreamId, report: Report, age: Millis) {
+    fn take_report(&mut self, id: UpstreamId, report: LoadReport, age: Millis) {
         let at = self.now - age.max(0.0);
         let Some(upstream) = self.fleet.get_mut(id).filter(|server| at >= server.reported_at) else { return };
         let Some(in_flight) = report.in_flight.filter(|m| m.is_finite() && *m >= 0.0) else { return };
@@ -674,8 +682,8 @@
         // not how large, and serves only until calm ones are known. Whether it is busy is told by its slow
         // mean: chosen by the moment, the ratio would lean to one side.
         let calm = upstream.mean_utilisation < CALM && utilisation < SATURATED;
-        let any = !self.settings.sizes_listed && utilisation < SATURATED;
-        let prior = if self.settings.sizes_listed { SIZE_PRIOR } else { 1.0 };
+        let any = !self.settings.weights_are_capacities && utilisation < SATURATED;
+        let prior = if self.settings.weights_are_capacities { SIZE_PRIOR } else { 1.0 };
         let (id, per_weight) = (upstream.kind, in_flight / upstream.weight);
         for kind in [self.seen.kinds.entry(id).or_default(), &mut self.seen.fleet] {
             if calm || (any && kind.calm < CALM_ENOUGH) {
@@ -687,12 +695,12 @@
 
     /// Counts an outcome for or against a server: outlier ejection with half-open trials.
     fn judge(&mut self, id: UpstreamId, failed: bool, out: &mut Vec<Action>) {
-        let count = self.fleet.serving(None) as f64;
+        let count = self.fleet.serving_count(None) as f64;
         let bar = EJECT_ABOVE + self.fleet.mean_failure_rate();
         let ejected = self.fleet.count(None, &[Pool::Trial, Pool::Waiting]) as f64;
         let may_eject = count > 1.0 && ejected + 1.0 <= (EJECT_SHARE * count).max(1.0);
         let (now, spread) = (self.now, 0.75 + 0.5 * self.rng.rand_float());
-        let rate = self.fleet.count_failure(id, failed, SMOOTH);
+        let rate = self.fleet.record_outcome(id, failed, SMOOTH);
         let Some(upstream) = self.fleet.get_mut(id) else { return };
         let eject = |wait: Millis| Health::Ejected { until: now + wait * spread, wait };
         match upstream.health {
@@ -710,7 +718,7 @@
             }
             Health::Ready | Health::Ejected { .. } => {}
         }
-        self.fleet.settle(id, &self.settings.safety);
+        self.fleet.update_pool(id, &self.settings.slow_start);
     }
 
     /// Another sidecar's trial ended: the server is back here as well, or left alone for longer.
@@ -719,29 +727,29 @@
         let Health::Ejected { wait, .. } = upstream.health else { return };
         let longer = Health::Ejected { until: self.now + wait, wait };
         upstream.health = if well { Health::Ready } else { longer };
-        self.fleet.settle(id, &self.settings.safety);
+        self.fleet.update_pool(id, &self.settings.slow_start);
     }
 
     // --- The server list ---------------------------------------------------------------------
 
-    fn listed(&mut self, news: ListNews) {
-        let whole = !matches!(news, ListNews::Changed(_));
-        let (ListNews::Restored(list) | ListNews::Complete(list) | ListNews::Changed(list)) = news;
+    fn listed(&mut self, news: ListUpdate) {
+        let whole = !matches!(news, ListUpdate::Changed(_));
+        let (ListUpdate::Restored(list) | ListUpdate::Complete(list) | ListUpdate::Changed(list)) = news;
         // Who is missing from a complete list is gone.
         if whole {
-            self.fleet.keep_only(&list);
+            self.fleet.retain_listed(&list);
         }
-        let (home, safety) = (self.settings.zone, &self.settings.safety);
+        let (home, safety) = (self.settings.zone, &self.settings.slow_start);
         list.iter().for_each(|entry| self.fleet.update(entry, home, safety));
-        self.slow_start.forget_before(self.now - safety.fall);
+        self.slow_start.drop_sends_before(self.now - safety.overload_window);
         self.choose_subset();
     }
 
     fn choose_subset(&mut self) {
         let sidecars = f64::from(self.settings.sidecars.max(1));
         let subset = |serving: usize| (SHARED_BY * serving as f64 / sidecars).max(SUBSET_LEAST);
-        let (home, safety) = (self.settings.zone, &self.settings.safety);
-        let serving = self.fleet.keep_subset(|serving| subset(serving) as usize, home, safety);
+        let (home, safety) = (self.settings.zone, &self.settings.slow_start);
+        let serving = self.fleet.select_subset(|serving| subset(serving) as usize, home, safety);
         self.seen.sharers = sidecars * (subset(serving) / serving as f64).min(1.0);
     }
 }
--- a/crates/sagemast/src/checkpoint.rs
+++ b/crates/sagemast/src/checkpoint.rs
@@ -8,7 +8,7 @@
     /// other.
     pub fn resume(mut self, settings: Settings) -> Option<Balancer> {
         let (classes, tenants) = (self.seen.service.len(), self.seen.tenant_shares.len());
-        let out = self.fleet.each().flat_map(|(_, upstream)| &upstream.outstanding).map(|out| out.class);
+        let out = self.fleet.iter().flat_map(|(_, upstream)| &upstream.outstanding).map(|out| out.class);
         let known = self.requests.values().map(|held| held.class).chain(out).all(|class| class.0 < classes);
         let fits = known && classes == settings.classes.len() && tenants == settings.tenants.len();
         self.settings = settings;
--- a/crates/sagemast/src/fleet/tests.rs
+++ b/crates/sagemast/src/endpoints/tests.rs
@@ -7,7 +7,8 @@
 use super::*;
 
 const HOME: ZoneId = ZoneId(0);
-const SAFETY: Safety = Safety { cold_share: 0.3, warm_up: 100.0, fall_multiple: 3.0, fall: 50.0 };
+const SAFETY: SlowStartRules =
+    SlowStartRules { initial_share: 0.3, warm_up: 100.0, overload_multiple: 3.0, overload_window: 50.0 };
 
 /// What may happen to the fleet.
 #[derive(Debug, Clone)]
@@ -31,7 +32,7 @@
             zone: ZoneId(zone),
             cell: CellId(cell),
             kind: KindId(0),
-            lifecycle: if serves { Lifecycle::Serving } else { Lifecycle::Leaving },
+            lifecycle: if serves { Lifecycle::Serving } else { Lifecycle::Draining },
             weight: 1.0,
             started,
         },
@@ -70,17 +71,17 @@
 };
 
 /// Every server looked at anew: who is in which set of a ring, by nothing but the records.
-fn scan(fleet: &Fleet, ring: &Ring, now: Millis) -> BTreeMap<UpstreamId, (usize, Pool)> {
+fn scan(fleet: &Endpoints, ring: &ZoneSetPools, now: Millis) -> BTreeMap<UpstreamId, (usize, Pool)> {
     let serving = fleet.servers.iter().filter(|(id, server)| {
         server.serving
-            && ring.highest.is_none_or(|highest| fleet.number(**id) <= highest)
-            && ring.bounds.as_ref().is_none_or(|zones| zones.contains(&server.zone))
+            && ring.max_rank.is_none_or(|highest| fleet.subset_rank(**id) <= highest)
+            && ring.zones.as_ref().is_none_or(|zones| zones.contains(&server.zone))
     });
     let side = |server: &Upstream| usize::from(server.zone != HOME);
     serving.map(|(id, server)| (*id, (side(server), server.state(now, &SAFETY).0))).collect()
 }
 
-fn play(fleet: &mut Fleet, now: &mut Millis, step: &Step) {
+fn play(fleet: &mut Endpoints, now: &mut Millis, step: &Step) {
     let outstanding = |request| Outstanding {
         request: RequestId(request),
         attempt: AttemptNo(0),
@@ -90,18 +91,18 @@
     };
     match step {
         Step::List(list) => {
-            fleet.keep_only(list);
+            fleet.retain_listed(list);
             list.iter().for_each(|entry| fleet.update(entry, HOME, &SAFETY));
         }
         Step::Change(entry) => fleet.update(entry, HOME, &SAFETY),
         Step::Wait(by) => *now += by,
         Step::Subset(count) => {
-            fleet.keep_subset(|_| *count, HOME, &SAFETY);
+            fleet.select_subset(|_| *count, HOME, &SAFETY);
         }
         Step::Bound(rings, count) => {
             let zones = |ring: &BTreeSet<u64>| ring.iter().map(|zone| ZoneId(*zone)).collect();
-            fleet.bound(&rings.iter().map(zones).collect::<Vec<_>>());
-            fleet.keep_subset(|_| *count, HOME, &SAFETY);
+            fleet.set_zone_sets(&rings.iter().map(zones).collect::<Vec<_>>());
+            fleet.select_subset(|_| *count, HOME, &SAFETY);
         }
         Step::Eject(id, wait) => {
             let health = Health::Ejected { until: *now + wait, wait: *wait };
@@ -118,20 +119,20 @@
             fleet.get_mut(UpstreamId(*id)).into_iter().for_each(|server| {
                 server.outstanding.pop();
             });
-            fleet.forget(UpstreamId(*id));
+            fleet.remove_if_unused(UpstreamId(*id));
         }
         Step::Count(id, failed) => {
-            fleet.count_failure(UpstreamId(*id), *failed, 0.3);
+            fleet.record_outcome(UpstreamId(*id), *failed, 0.3);
         }
     }
     // What the module does after each event.
     (0..12).for_each(|id| match step {
         Step::Eject(at, _) | Step::Heal(at) | Step::Send(at) | Step::Settle(at) if *at == id => {
-            fleet.settle(UpstreamId(id), &SAFETY)
+            fleet.update_pool(UpstreamId(id), &SAFETY)
         }
         _ => {}
     });
-    fleet.pass_time(*now, &SAFETY);
+    fleet.advance_time(*now, &SAFETY);
 }
 
 proptest! {
@@ -141,11 +142,11 @@
     /// look at every server gives, and so are the sums and whoever is drawn.
     #[test]
     fn the_sets_are_those_that_a_scan_gives(steps in prop::collection::vec(step(), 1..60)) {
-        let (mut fleet, mut now) = (Fleet::default(), 0.0);
+        let (mut fleet, mut now) = (Endpoints::default(), 0.0);
         for step in &steps {
             play(&mut fleet, &mut now, step);
-            for place in std::iter::once(None).chain((0..fleet.rings.len()).map(Some)) {
-                let ring = fleet.ring(place).expect("one of those there are");
+            for place in std::iter::once(None).chain((0..fleet.zone_sets.len()).map(Some)) {
+                let ring = fleet.pools(place).expect("one of those there are");
                 let scanned = scan(&fleet, ring, now);
                 let mut kept = BTreeMap::new();
                 for (side, pools) in ring.pools.iter().enumerate() {
@@ -157,23 +158,23 @@
                 }
                 prop_assert_eq!(&kept, &scanned);
                 let all: BTreeSet<UpstreamId> = scanned.keys().copied().collect();
-                prop_assert_eq!(drawn(&fleet, place, From::Everyone), all, "ring {:?}", place);
+                prop_assert_eq!(drawn(&fleet, place, DrawFrom::AllServing), all, "ring {:?}", place);
             }
-            let scanned = scan(&fleet, &fleet.anywhere, now);
+            let scanned = scan(&fleet, &fleet.unrestricted, now);
             let failures = scanned.keys().map(|id| u64::from(fleet.servers[id].failures)).sum::<u64>();
-            prop_assert_eq!(fleet.failures, failures);
+            prop_assert_eq!(fleet.failure_rate_sum, failures);
             prop_assert!(fleet.servers.values().all(|s| s.serving || !s.outstanding.is_empty()));
             for (id, (side, pool)) in &scanned {
                 let server = &fleet.servers[id];
                 let ready = *pool != Pool::Waiting;
                 let warm = *pool == Pool::Warm;
                 for (from, member) in [
-                    (From::Near, warm && *side == 0),
-                    (From::Warm, warm),
-                    (From::Ready, ready),
-                    (From::Everyone, true),
-                    (From::Zone(server.zone), true),
-                    (From::Cell(server.cell), true),
+                    (DrawFrom::LocalWarm, warm && *side == 0),
+                    (DrawFrom::Warm, warm),
+                    (DrawFrom::Ready, ready),
+                    (DrawFrom::AllServing, true),
+                    (DrawFrom::Zone(server.zone), true),
+                    (DrawFrom::Cell(server.cell), true),
                 ] {
                     prop_assert_eq!(drawn(&fleet, None, from).contains(id), member, "{:?} of {:?}", id, from);
                 }
@@ -183,11 +184,11 @@
 }
 
 /// Whoever a draw can give, by trying every index.
-fn drawn(fleet: &Fleet, ring: Option<usize>, from: From) -> BTreeSet<UpstreamId> {
+fn drawn(fleet: &Endpoints, ring: Option<usize>, from: DrawFrom) -> BTreeSet<UpstreamId> {
     let mut all = BTreeSet::new();
     for first in 0..12 {
         let mut draws = 0;
-        let pair = fleet.pair(ring, from, |count| {
+        let pair = fleet.draw_pair(ring, from, |count| {
             draws += 1;
             if draws == 1 { first % count } else { 0 }
         });
--- a/crates/sagemast/src/groups.rs
+++ b/crates/sagemast/src/groups.rs
@@ -9,15 +9,19 @@
 use crate::api::{CellId, UpstreamId, ZoneId};
 
 /// Members in the order that draws go by; which one has an index is the same wherever the same events came.
-pub(crate) type Set = IndexSet<UpstreamId, FxBuildHasher>;
+pub(crate) type EndpointSet = IndexSet<UpstreamId, FxBuildHasher>;
 
 /// Adds a member to its group.
-pub(crate) fn join<K: Ord>(groups: &mut BTreeMap<K, Set>, group: K, id: UpstreamId) {
+pub(crate) fn add_to_group<K: Ord>(groups: &mut BTreeMap<K, EndpointSet>, group: K, id: UpstreamId) {
     groups.entry(group).or_default().insert(id);
 }
 
 /// Takes a member out of its group, and the group away with its last member.
-pub(crate) fn leave<K: Ord + Copy>(groups: &mut BTreeMap<K, Set>, group: K, id: UpstreamId) {
+pub(crate) fn remove_from_group<K: Ord + Copy>(
+    groups: &mut BTreeMap<K, EndpointSet>,
+    group: K,
+    id: UpstreamId,
+) {
     let Some(set) = groups.get_mut(&group) else { return };
     set.swap_remove(&id);
     if set.is_empty() {
@@ -45,35 +49,38 @@
 
 /// Whom a pair is drawn from.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) enum From {
+pub(crate) enum DrawFrom {
     /// Warm servers in our zone.
-    Near,
+    LocalWarm,
     /// Warm servers.
     Warm,
     /// All that may be sent a request: warm, cold, and due for a trial.
     Ready,
     /// All that serve, ejected ones too.
-    Everyone,
+    AllServing,
     /// All that serve in a zone.
     Zone(ZoneId),
     /// All that serve in a cell.
     Cell(CellId),
 }
 
-impl From {
+impl DrawFrom {
     /// The states of those that it takes in; none where it is a group.
     fn pools(self) -> &'static [Pool] {
         match self {
-            From::Near | From::Warm => &[Pool::Warm],
-            From::Ready => &[Pool::Warm, Pool::Cold, Pool::Trial],
-            From::Everyone => &Pool::ALL,
-            From::Zone(_) | From::Cell(_) => &[],
+            DrawFrom::LocalWarm | DrawFrom::Warm => &[Pool::Warm],
+            DrawFrom::Ready => &[Pool::Warm, Pool::Cold, Pool::Trial],
+            DrawFrom::AllServing => &Pool::ALL,
+            DrawFrom::Zone(_) | DrawFrom::Cell(_) => &[],
         }
     }
 }
 
 /// The member of some sets at an index over all of them.
-pub(crate) fn member<'s>(sets: impl Iterator<Item = &'s Set>, mut index: usize) -> Option<UpstreamId> {
+pub(crate) fn nth_member<'s>(
+    sets: impl Iterator<Item = &'s EndpointSet>,
+    mut index: usize,
+) -> Option<UpstreamId> {
     for set in sets {
         match set.get_index(index) {
             Some(id) => return Some(*id),
@@ -85,57 +92,65 @@
 
 /// A pair of distinct members of some sets, drawn by `below(n)`, a random number under `n`; the one there is, twice,
 /// where there is only one.
-pub(crate) fn pair<'s>(
-    sets: impl Iterator<Item = &'s Set> + Clone,
+pub(crate) fn draw_pair<'s>(
+    sets: impl Iterator<Item = &'s EndpointSet> + Clone,
     mut below: impl FnMut(u64) -> u64,
 ) -> Option<[UpstreamId; 2]> {
     let count = sets.clone().map(|set| set.len()).sum::<usize>() as u64;
     let first = below(count.checked_sub(1)? + 1);
     let step = if count > 1 { 1 + below(count - 1) } else { 0 };
-    let at = |index: u64| member(sets.clone(), index as usize);
+    let at = |index: u64| nth_member(sets.clone(), index as usize);
     Some([at(first)?, at((first + step) % count)?])
 }
 
 /// The highest number where nobody has a place.
-const NOBODY: Option<u64> = Some(0);
+const EMPTY_SUBSET: Option<u64> = Some(0);
 
 /// Sets by state; `[0]` of those of our zone, `[1]` of the others.
-type Sides = [[Set; Pool::ALL.len()]; 2];
+type PoolsByLocality = [[EndpointSet; Pool::ALL.len()]; 2];
 
 /// Those of some zones that serve and are of the subset for these zones, by state: a draw from it costs the same
 /// whatever the fleet, and finds nobody outside.
 #[derive(Debug, Default, Serialize, Deserialize)]
-pub(crate) struct Ring {
+pub(crate) struct ZoneSetPools {
     /// Its zones; all there are, where it has no bounds.
-    pub bounds: Option<BTreeSet<ZoneId>>,
+    #[serde(rename = "bounds")]
+    pub zones: Option<BTreeSet<ZoneId>>,
     /// Servers with a higher number than this are not of its subset.
-    pub highest: Option<u64>,
-    pub pools: Sides,
+    #[serde(rename = "highest")]
+    pub max_rank: Option<u64>,
+    pub pools: PoolsByLocality,
 }
 
-impl Ring {
+impl ZoneSetPools {
     /// One that lets nobody in until its subset is known.
-    pub fn of(zones: &BTreeSet<ZoneId>) -> Ring {
-        Ring { bounds: Some(zones.clone()), highest: NOBODY, pools: Sides::default() }
+    pub fn for_zones(zones: &BTreeSet<ZoneId>) -> ZoneSetPools {
+        ZoneSetPools { zones: Some(zones.clone()), max_rank: EMPTY_SUBSET, pools: PoolsByLocality::default() }
     }
 
     /// Has the subset told anew.
-    pub fn begin_anew(&mut self) {
-        self.highest = NOBODY;
+    pub fn reset_subset(&mut self) {
+        self.max_rank = EMPTY_SUBSET;
     }
 
-    fn holds(&self, zone: ZoneId) -> bool {
-        self.bounds.as_ref().is_none_or(|zones| zones.contains(&zone))
+    fn covers_zone(&self, zone: ZoneId) -> bool {
+        self.zones.as_ref().is_none_or(|zones| zones.contains(&zone))
     }
 
     /// Whether a server that serves stands here, by its side and state.
-    pub fn has(&self, id: UpstreamId, (side, pool): (usize, Pool)) -> bool {
+    pub fn contains(&self, id: UpstreamId, (side, pool): (usize, Pool)) -> bool {
         self.pools[side][pool as usize].contains(&id)
     }
 
     /// Puts a server in that serves, if it belongs here by its number and zone; whether it does.
-    pub fn put_in(&mut self, id: UpstreamId, number: u64, zone: ZoneId, (side, pool): (usize, Pool)) -> bool {
-        let belongs = self.holds(zone) && self.highest.is_none_or(|highest| number <= highest);
+    pub fn insert_if_eligible(
+        &mut self,
+        id: UpstreamId,
+        number: u64,
+        zone: ZoneId,
+        (side, pool): (usize, Pool),
+    ) -> bool {
+        let belongs = self.covers_zone(zone) && self.max_rank.is_none_or(|highest| number <= highest);
         if belongs {
             self.pools[side][pool as usize].insert(id);
         }
@@ -143,13 +158,13 @@
     }
 
     /// Takes a server out; whether it was here.
-    pub fn take_out(&mut self, id: UpstreamId, (side, pool): (usize, Pool)) -> bool {
+    pub fn remove(&mut self, id: UpstreamId, (side, pool): (usize, Pool)) -> bool {
         self.pools[side][pool as usize].swap_remove(&id)
     }
 
     /// Moves a server to another state, if it is here.
-    pub fn shift(&mut self, id: UpstreamId, from: (usize, Pool), (side, pool): (usize, Pool)) {
-        if self.take_out(id, from) {
+    pub fn change_pool(&mut self, id: UpstreamId, from: (usize, Pool), (side, pool): (usize, Pool)) {
+        if self.remove(id, from) {
             self.pools[side][pool as usize].insert(id);
         }
     }
@@ -160,22 +175,22 @@
     }
 
     /// The sets that make up whom a pair is drawn from; none where that is a group.
-    pub fn sets(&self, from: From) -> impl Iterator<Item = &Set> + Clone {
-        let sides = if from == From::Near { 1 } else { 2 };
+    pub fn sets_for(&self, from: DrawFrom) -> impl Iterator<Item = &EndpointSet> + Clone {
+        let sides = if from == DrawFrom::LocalWarm { 1 } else { 2 };
         let pools = from.pools();
         self.pools[..sides].iter().flat_map(move |side| pools.iter().map(|pool| &side[*pool as usize]))
     }
 
     /// The sets of cold ones.
-    pub fn cold(&self) -> impl Iterator<Item = &Set> {
+    pub fn cold_sets(&self) -> impl Iterator<Item = &EndpointSet> {
         self.pools.iter().map(|side| &side[Pool::Cold as usize])
     }
 
     /// Keeps so many of its servers, by how many those are, given the numbers and zones of all in order; whether that
     /// changes who stands here.
-    pub fn keep(&mut self, all: &[(u64, ZoneId)], count: impl Fn(usize) -> usize) -> bool {
-        let own = || all.iter().filter(|(_, zone)| self.holds(*zone)).map(|(number, _)| *number);
+    pub fn limit_subset(&mut self, all: &[(u64, ZoneId)], count: impl Fn(usize) -> usize) -> bool {
+        let own = || all.iter().filter(|(_, zone)| self.covers_zone(*zone)).map(|(number, _)| *number);
         let highest = own().nth(count(own().count()).saturating_sub(1));
-        std::mem::replace(&mut self.highest, highest) != highest
+        std::mem::replace(&mut self.max_rank, highest) != highest
     }
 }
--- a/crates/sagemast/src/guided.rs
+++ b/crates/sagemast/src/guided.rs
@@ -22,8 +22,8 @@
 impl Guided {
     /// Takes other guidance in place of what there is. What was sent of a lease stays sent while the lease is the same.
     pub fn take(&mut self, mut told: Guidance) {
-        for (id, lease) in told.cold.iter_mut().flatten() {
-            let held = self.told.cold.as_ref().and_then(|cold| cold.get(id));
+        for (id, lease) in told.slow_start_leases.iter_mut().flatten() {
+            let held = self.told.slow_start_leases.as_ref().and_then(|cold| cold.get(id));
             if let Some(held) = held.filter(|held| held.until == lease.until) {
                 lease.requests = lease.requests.min(held.requests);
             }
@@ -33,22 +33,25 @@
 
     /// Budgets of further sends of all classes, given what the settings say.
     pub fn budgets(&self, [retries, copies]: Budgets) -> Budgets {
-        [self.told.retries.map(Into::into).or(retries), self.told.copies.map(Into::into).or(copies)]
+        [
+            self.told.retry_budget.map(Into::into).or(retries),
+            self.told.hedge_budget.map(Into::into).or(copies),
+        ]
     }
 
     /// The chance that an arrival may be sent at all.
     pub fn admit(&self, class: ClassId) -> Option<f64> {
-        self.told.admit.get(class.0).copied()
+        self.told.admit_probability.get(class.0).copied()
     }
 
     /// Whether this sidecar may ask a server for its load.
     pub fn asks(&self, id: UpstreamId) -> bool {
-        self.told.probes.as_ref().is_none_or(|duties| duties.contains(&id))
+        self.told.load_poll_targets.as_ref().is_none_or(|duties| duties.contains(&id))
     }
 
     /// The next of the servers whose load it is to ask for.
     pub fn duty(&mut self) -> Option<UpstreamId> {
-        let duties = self.told.probes.as_ref()?;
+        let duties = self.told.load_poll_targets.as_ref()?;
         let after = self.asked.map_or(Bound::Unbounded, Bound::Excluded);
         self.asked = duties.range((after, Bound::Unbounded)).next().or(duties.first()).copied();
         self.asked
@@ -56,23 +59,23 @@
 
     /// Whether it may try an ejected server whose time is up.
     pub fn tries(&self, id: UpstreamId) -> bool {
-        self.told.trials.as_ref().is_none_or(|trials| trials.contains(&id))
+        self.told.ejection_probe_targets.as_ref().is_none_or(|trials| trials.contains(&id))
     }
 
     /// Whether leases say what servers in slow start are sent.
     pub fn leases(&self) -> bool {
-        self.told.cold.is_some()
+        self.told.slow_start_leases.is_some()
     }
 
     /// Whether a server may be sent one more by what was leased of it; nothing where it is not cold, or nothing is leased.
     pub fn leased(&self, to: &Candidate, now: Millis) -> Option<bool> {
-        let cold = self.told.cold.as_ref().filter(|_| to.warmth < 1.0)?;
+        let cold = self.told.slow_start_leases.as_ref().filter(|_| to.warmth < 1.0)?;
         Some(cold.get(&to.id).is_some_and(|lease| lease.requests > 0 && now < lease.until))
     }
 
     /// Counts what was sent against the lease.
     pub fn sent(&mut self, to: &Candidate) {
-        let lease = self.told.cold.as_mut().and_then(|cold| cold.get_mut(&to.id));
+        let lease = self.told.slow_start_leases.as_mut().and_then(|cold| cold.get_mut(&to.id));
         if let Some(lease) = lease.filter(|_| to.warmth < 1.0) {
             lease.requests = lease.requests.saturating_sub(1);
         }
@@ -80,7 +83,7 @@
 
     /// Where a share of a span comes to lie within the slice of it that is this sidecar's.
     pub fn come_back(&self, share: f64) -> f64 {
-        self.told.come_back.map_or(share, |[from, to]| (from + (to - from) * share).clamp(0.0, 1.0))
+        self.told.retry_after_slice.map_or(share, |[from, to]| (from + (to - from) * share).clamp(0.0, 1.0))
     }
 
     /// The ring of zones that a request is drawn from, where it has one.
@@ -115,6 +118,6 @@
         rings
             .into_iter()
             .flatten()
-            .all(|ring| self.rings.get(ring).is_some_and(|zones| zones.contains(&zone)))
+            .all(|ring| self.zone_sets.get(ring).is_some_and(|zones| zones.contains(&zone)))
     }
 }
--- a/crates/sagemast/src/lib.rs
+++ b/crates/sagemast/src/lib.rs
@@ -3,9 +3,9 @@
 pub mod api;
 pub mod brain;
 mod checkpoint;
+mod endpoints;
 mod exact;
 mod explain;
-mod fleet;
 mod groups;
 mod guided;
 mod reroute;
--- a/crates/sagemast/src/reroute.rs
+++ b/crates/sagemast/src/reroute.rs
@@ -14,7 +14,7 @@
     /// Whether a class has requests or sends under way: until they are over they go by what it sets.
     pub fn uses(&self, class: ClassId) -> bool {
         self.requests.values().any(|held| held.class == class)
-            || self.fleet.each().any(|(_, server)| server.outstanding.iter().any(|out| out.class == class))
+            || self.fleet.iter().any(|(_, server)| server.outstanding.iter().any(|out| out.class == class))
     }
 
     /// Puts a class in the place of one that is not in use, or behind all others. It begins with what is known of
@@ -22,7 +22,7 @@
     pub fn put_class(&mut self, id: ClassId, class: Class, known: ClassId) {
         let mut service = self.seen.service[known.0];
         service.purse = service.purse.within(self.settings.classes[known.0].budgets(), class.budgets());
-        self.slow_start.forget_class(id);
+        self.slow_start.reset_class(id);
         if let Some(place) = self.settings.classes.get_mut(id.0) {
             (*place, self.seen.service[id.0]) = (class, service);
         } else {
@@ -34,7 +34,7 @@
     /// Sets the budgets of all classes together. What is left of them stays, as far as they allow.
     pub fn put_budgets(&mut self, retries: Option<Budget>, copies: Option<Budget>) {
         let before = self.budgets();
-        (self.settings.retry_budget, self.settings.copy_budget) = (retries, copies);
+        (self.settings.retry_budget, self.settings.hedge_budget) = (retries, copies);
         self.seen.purse = self.seen.purse.within(before, self.budgets());
     }
 }
--- a/crates/sagemast/src/settings.rs
+++ b/crates/sagemast/src/settings.rs
@@ -12,7 +12,7 @@
 
 /// The settings object as it stands on the wire. Keys that are not listed here are passed over.
 #[derive(Deserialize)]
-pub struct Config {
+pub struct PlatformSettings {
     classes: Vec<WireClass>,
     #[serde(default)]
     tenants: Vec<WireTenant>,
@@ -135,40 +135,40 @@
     columns: Vec<String>,
 }
 
-impl Config {
+impl PlatformSettings {
     /// The settings in the module's terms.
     pub fn settings(&self) -> Settings {
         Settings {
             classes: self.classes.iter().map(WireClass::class).collect(),
             tenants: self.tenants.iter().map(|tenant| Tenant { quota_per_s: tenant.quota_per_s }).collect(),
-            over_quota_worth: self.over_share_worth,
+            over_quota_weight: self.over_share_worth,
             zone: ZoneId(self.zone),
             sidecars: self.peers_total,
-            crossing_fee: self.fee("cross_zone"),
-            probe_fee: self.fee("probe"),
+            cross_zone_cost: self.fee("cross_zone"),
+            load_poll_cost: self.fee("probe"),
             limits: Limits {
                 max_attempts: self.allowed.max_attempts,
-                duplicates: self.allowed.may_duplicate,
-                probes: self.allowed.probes,
+                concurrent_attempts: self.allowed.may_duplicate,
+                load_polls: self.allowed.probes,
                 cancel: self.allowed.cancel,
                 max_retry_after: if self.allowed.retry_after { self.allowed.max_retry_after } else { 0.0 },
                 tick: self.period,
             },
-            safety: Safety {
-                cold_share: self.invariants.cold_share,
+            slow_start: SlowStartRules {
+                initial_share: self.invariants.cold_share,
                 warm_up: self.invariants.warm_up,
-                fall_multiple: self.invariants.fall_multiple,
-                fall: self.invariants.fall,
+                overload_multiple: self.invariants.fall_multiple,
+                overload_window: self.invariants.fall,
             },
-            worth_by_work: self.counted_by == "work",
-            sizes_listed: matches!(self.weights.as_str(), "nominal" | "rough"),
+            weight_per_work: self.counted_by == "work",
+            weights_are_capacities: matches!(self.weights.as_str(), "nominal" | "rough"),
             retry_budget: None,
-            copy_budget: None,
+            hedge_budget: None,
         }
     }
 
     /// The time in milliseconds in which discovery must be asked; `None` where news of servers come by themselves.
-    pub fn must_ask_in(&self) -> Option<Millis> {
+    pub fn discovery_poll_interval(&self) -> Option<Millis> {
         let asked = self.membership_mode == Membership::Subscribe;
         asked.then_some(self.invariants.must_ask_in).filter(|within| within.is_finite())
     }
@@ -184,9 +184,9 @@
     }
 
     /// Tells the first field that no sidecar could work with; the simulator's own settings always pass.
-    pub fn check(&self) -> Result<(), BadSetting> {
+    pub fn validate(&self) -> Result<(), InvalidSetting> {
         if self.classes.is_empty() {
-            return Err(BadSetting::new("classes", "there are none"));
+            return Err(InvalidSetting::new("classes", "there are none"));
         }
         for (place, class) in self.classes.iter().enumerate() {
             class.check(&format!("classes[{place}]"))?;
@@ -209,8 +209,8 @@
     }
 
     /// Names and effects of the classes, by class id.
-    pub fn classes(&self) -> Vec<(String, Effect)> {
-        self.classes.iter().map(|class| (class.name.clone(), class.class().effect)).collect()
+    pub fn classes(&self) -> Vec<(String, Idempotency)> {
+        self.classes.iter().map(|class| (class.name.clone(), class.class().idempotency)).collect()
     }
 
     /// Names of the classes, by class id.
@@ -229,17 +229,17 @@
     }
 
     /// The number of a zone. One that the settings do not name gets a number that no other has.
-    pub fn zone_named(&self, name: &str) -> u64 {
-        number_of(&self.azs, name)
+    pub fn zone_number(&self, name: &str) -> u64 {
+        number_of_name(&self.azs, name)
     }
 
     /// The number of a kind of machine, likewise.
-    pub fn kind_named(&self, name: &str) -> u64 {
-        number_of(&self.kinds, name)
+    pub fn kind_number(&self, name: &str) -> u64 {
+        number_of_name(&self.kinds, name)
     }
 
     /// How long clients of each class wait, by class id.
-    pub fn client_limits_ms(&self) -> impl Iterator<Item = Millis> {
+    pub fn client_deadlines_ms(&self) -> impl Iterator<Item = Millis> {
         self.classes.iter().map(|class| class.hard_limit)
     }
 
@@ -276,42 +276,42 @@
 
 /// A field of the settings that no sidecar could work with.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct BadSetting {
+pub struct InvalidSetting {
     /// The field, by its path within the settings.
     pub field: String,
     /// What is wrong with it.
     pub problem: String,
 }
 
-impl BadSetting {
-    fn new(field: impl Into<String>, problem: impl Into<String>) -> BadSetting {
-        BadSetting { field: field.into(), problem: problem.into() }
+impl InvalidSetting {
+    fn new(field: impl Into<String>, problem: impl Into<String>) -> InvalidSetting {
+        InvalidSetting { field: field.into(), problem: problem.into() }
     }
 }
 
-impl Display for BadSetting {
+impl Display for InvalidSetting {
     fn fmt(&self, formatter: &mut Formatter) -> fmt::Result {
         write!(formatter, "{}: {}", self.field, self.problem)
     }
 }
 
-impl Error for BadSetting {}
+impl Error for InvalidSetting {}
 
 /// No time, worth or rate is as large as this in earnest; a time in milliseconds reaches over eleven days.
 const LARGEST: f64 = 1e9;
 
-fn positive(field: &str, value: f64) -> Result<(), BadSetting> {
+fn positive(field: &str, value: f64) -> Result<(), InvalidSetting> {
     if value > 0.0 && value < LARGEST {
         return Ok(());
     }
-    Err(BadSetting::new(field, format!("{value} is not above 0 and below {LARGEST}")))
+    Err(InvalidSetting::new(field, format!("{value} is not above 0 and below {LARGEST}")))
 }
 
-fn not_negative(field: &str, value: f64) -> Result<(), BadSetting> {
+fn not_negative(field: &str, value: f64) -> Result<(), InvalidSetting> {
     if (0.0..LARGEST).contains(&value) {
         return Ok(());
     }
-    Err(BadSetting::new(field, format!("{value} is not 0 or more and below {LARGEST}")))
+    Err(InvalidSetting::new(field, format!("{value} is not 0 or more and below {LARGEST}")))
 }
 
 /// Names of one list that stand for different things. A name that comes twice cannot say which is meant.
@@ -319,21 +319,21 @@
     list: &str,
     field: &str,
     names: impl Iterator<Item = &'a str>,
-) -> Result<(), BadSetting> {
+) -> Result<(), InvalidSetting> {
     let mut places = HashMap::new();
     for (place, name) in names.enumerate() {
         if let Some(other) = places.insert(name, place) {
             let problem = format!("{list}[{other}]{field} is {name:?}, too");
-            return Err(BadSetting::new(format!("{list}[{place}]{field}"), problem));
+            return Err(InvalidSetting::new(format!("{list}[{place}]{field}"), problem));
         }
     }
     Ok(())
 }
 
 impl Allowed {
-    fn check(&self) -> Result<(), BadSetting> {
+    fn check(&self) -> Result<(), InvalidSetting> {
         if self.max_attempts == 0 {
-            return Err(BadSetting::new("allowed.max_attempts", "0 leaves no attempt"));
+            return Err(InvalidSetting::new("allowed.max_attempts", "0 leaves no attempt"));
         }
         not_negative("allowed.max_retry_after", self.max_retry_after)?;
         positive("allowed.keepalive", self.keepalive)?;
@@ -342,7 +342,7 @@
 }
 
 impl Invariants {
-    fn check(&self) -> Result<(), BadSetting> {
+    fn check(&self) -> Result<(), InvalidSetting> {
         positive("invariants.cold_share", self.cold_share)?;
         positive("invariants.warm_up", self.warm_up)?;
         positive("invariants.fall_multiple", self.fall_multiple)?;
@@ -351,9 +351,9 @@
 }
 
 impl WireClass {
-    fn check(&self, path: &str) -> Result<(), BadSetting> {
+    fn check(&self, path: &str) -> Result<(), InvalidSetting> {
         if self.name.is_empty() {
-            return Err(BadSetting::new(format!("{path}.name"), "it is empty"));
+            return Err(InvalidSetting::new(format!("{path}.name"), "it is empty"));
         }
         positive(&format!("{path}.aim"), self.aim)?;
         positive(&format!("{path}.hard_limit"), self.hard_limit)?;
@@ -364,18 +364,18 @@
 
     fn class(&self) -> Class {
         let scope = match self.dedup_scope {
-            WireScope::All => Scope::All,
-            WireScope::Zone => Scope::Zone,
-            WireScope::Cell => Scope::Cell,
+            WireScope::All => DedupScope::All,
+            WireScope::Zone => DedupScope::Zone,
+            WireScope::Cell => DedupScope::Cell,
         };
         Class {
-            aim: self.aim,
-            worth: self.importance,
-            late_worth: self.late_worth,
-            effect: match self.effect {
-                WireEffect::Repeatable => Effect::Repeatable,
-                WireEffect::ByKey => Effect::ByKey { scope, window: self.window },
-                WireEffect::Once => Effect::Once,
+            latency_objective: self.aim,
+            priority_weight: self.importance,
+            late_weight: self.late_worth,
+            idempotency: match self.effect {
+                WireEffect::Repeatable => Idempotency::Idempotent,
+                WireEffect::ByKey => Idempotency::ByKey { scope, window: self.window },
+                WireEffect::Once => Idempotency::NotIdempotent,
             },
             policy: Policy::default(),
         }
@@ -410,8 +410,8 @@
 }
 
 /// Puts the figures of a report in their places.
-pub fn report(columns: &[Column], stats: &[f64]) -> Report {
-    let mut report = Report::default();
+pub fn report_from_columns(columns: &[Column], stats: &[f64]) -> LoadReport {
+    let mut report = LoadReport::default();
     for (column, value) in columns.iter().zip(stats) {
         match column {
             Column::InFlight => report.in_flight = Some(*value),
@@ -425,7 +425,7 @@
 }
 
 /// The place of a name in a list; for a stranger a number past the end, drawn from the name itself.
-pub fn number_of(names: &[String], name: &str) -> u64 {
+pub fn number_of_name(names: &[String], name: &str) -> u64 {
     let stranger =
         || name.bytes().fold(1 << 32, |sum: u64, byte| sum.wrapping_mul(257).wrapping_add(u64::from(byte)));
     names.iter().position(|known| known == name).map_or_else(stranger, |place| place as u64)
@@ -433,7 +433,7 @@
 
 /// Reads a load report of the form `TEXT inflight=7, util=0.61`: the figures that the settings name. `None`
 /// where there is no sound one.
-pub fn report_from_text(columns: &[Column], text: &str) -> Option<Report> {
+pub fn report_from_text(columns: &[Column], text: &str) -> Option<LoadReport> {
     let figures = text.trim().strip_prefix("TEXT")?;
     let (mut used, mut stats) = (Vec::new(), Vec::new());
     for figure in figures.split(',') {
@@ -445,7 +445,7 @@
             stats.push(value);
         }
     }
-    (!used.is_empty()).then(|| report(&used, &stats))
+    (!used.is_empty()).then(|| report_from_columns(&used, &stats))
 }
 
 /// No figure of a load report is larger in earnest.
--- a/crates/sagemast/src/state.rs
+++ b/crates/sagemast/src/state.rs
@@ -283,7 +283,7 @@
     }
 
     /// The state it is in, and when time alone will change that.
-    pub fn state(&self, now: Millis, safety: &Safety) -> (Pool, Option<Millis>) {
+    pub fn state(&self, now: Millis, safety: &SlowStartRules) -> (Pool, Option<Millis>) {
         let warm_at = self.started.map(|started| started + safety.warm_up).filter(|at| now < *at);
         match (self.health, warm_at) {
             (Health::Ejected { until, .. }, _) if now < until => (Pool::Waiting, Some(until)),
@@ -296,11 +296,11 @@
     }
 
     /// The share of its capacity that a server surely has: a line from the cold share to all of it.
-    pub fn warmth(&self, now: Millis, safety: &Safety) -> f64 {
+    pub fn warmth(&self, now: Millis, safety: &SlowStartRules) -> f64 {
         match self.started {
             Some(started) if now < started + safety.warm_up => {
                 let age = (now - started).max(0.0);
-                (safety.cold_share + (1.0 - safety.cold_share) * age / safety.warm_up).max(0.01)
+                (safety.initial_share + (1.0 - safety.initial_share) * age / safety.warm_up).max(0.01)
             }
             _ => 1.0,
         }
--- a/crates/sagemast/src/view.rs
+++ b/crates/sagemast/src/view.rs
@@ -24,8 +24,8 @@
 impl Balancer {
     /// All servers that take new work, whether or not this sidecar's subset has them.
     pub fn servers(&self, now: Millis) -> impl Iterator<Item = Known> {
-        self.fleet.each().filter(|(_, server)| server.serving).map(move |(upstream, server)| {
-            let warmth = server.warmth(now, &self.settings.safety);
+        self.fleet.iter().filter(|(_, server)| server.serving).map(move |(upstream, server)| {
+            let warmth = server.warmth(now, &self.settings.slow_start);
             Known {
                 upstream,
                 zone: server.zone,
--- a/crates/sagemast/tests/any_order.rs
+++ b/crates/sagemast/tests/any_order.rs
@@ -58,7 +58,7 @@
                     assert!(within.is_none_or(|w| w.allows(class, seen.tenant, zone)), "outside its rings");
                     assert!((seen.tries.len() as u32) < self.settings.limits.max_attempts);
                     let policy = &self.settings.classes[seen.class].policy;
-                    let copies = self.settings.limits.duplicates && policy.second_copy.is_some();
+                    let copies = self.settings.limits.concurrent_attempts && policy.second_copy.is_some();
                     let out: Vec<&Try> = seen.tries.iter().filter(|t| t.outcome.is_none()).collect();
                     assert!(out.len() <= usize::from(copies), "{} attempts out already", out.len());
                     assert!(out.iter().all(|t| t.upstream != *upstream), "a copy to the same server");
@@ -70,15 +70,15 @@
                     }
                     let first = seen.tries.iter().find(|t| t.outcome.is_none_or(Outcome::may_have_run));
                     if let Some(first) = first {
-                        match self.settings.classes[seen.class].effect {
-                            Effect::Repeatable => {}
-                            Effect::Once => panic!("may run twice"),
-                            Effect::ByKey { scope, window } => {
+                        match self.settings.classes[seen.class].idempotency {
+                            Idempotency::Idempotent => {}
+                            Idempotency::NotIdempotent => panic!("may run twice"),
+                            Idempotency::ByKey { scope, window } => {
                                 assert!(self.now <= first.sent + window, "outside the window");
                                 match scope {
-                                    Scope::All => {}
-                                    Scope::Zone => assert_eq!(upstream.0 / 20, first.upstream.0 / 20),
-                                    Scope::Cell => assert_eq!(upstream.0 / 10, first.upstream.0 / 10),
+                                    DedupScope::All => {}
+                                    DedupScope::Zone => assert_eq!(upstream.0 / 20, first.upstream.0 / 20),
+                                    DedupScope::Cell => assert_eq!(upstream.0 / 10, first.upstream.0 / 10),
                                 }
                             }
                         }
@@ -93,8 +93,8 @@
                     assert!(!std::mem::replace(&mut seen.ended, true), "answered twice");
                     assert!(*reason != Reason::Shed || seen.tries.is_empty(), "shed after a send");
                     let ran = seen.tries.iter().any(|t| t.outcome.is_none_or(Outcome::may_have_run));
-                    match self.settings.classes[seen.class].effect {
-                        Effect::Repeatable | Effect::ByKey { scope: Scope::All, .. } => {}
+                    match self.settings.classes[seen.class].idempotency {
+                        Idempotency::Idempotent | Idempotency::ByKey { scope: DedupScope::All, .. } => {}
                         _ => assert!(!ran, "a refusal promises that it never ran"),
                     }
                 }
@@ -102,7 +102,7 @@
                     let seen = self.requests.get_mut(request).expect("a known request");
                     assert!(!std::mem::replace(&mut seen.ended, true), "answered twice");
                 }
-                Action::Probe(upstream) => self.probes.push(*upstream),
+                Action::PollLoad(upstream) => self.probes.push(*upstream),
                 Action::Cancel { request, attempt } => {
                     assert!(self.requests[request].tries.len() > attempt.0 as usize);
                 }
@@ -117,16 +117,16 @@
 
     fn listing(&mut self) -> Listing {
         let id = 1 + self.pick(39) as u64;
-        let lifecycle = if self.pick(4) == 0 { Lifecycle::Leaving } else { Lifecycle::Serving };
+        let lifecycle = if self.pick(4) == 0 { Lifecycle::Draining } else { Lifecycle::Serving };
         let started = (self.pick(6) == 0).then_some(self.now);
         let weight = [1.0, 2.0, 0.0, f64::NAN, -1.0, 0.5][self.pick(6)];
         Listing { zone: ZoneId(id / 20), lifecycle, started, weight, ..listing(id) }
     }
 
-    fn report(&mut self) -> Option<Report> {
+    fn report(&mut self) -> Option<LoadReport> {
         let absurd = [0.0, -3.0, f64::NAN, f64::INFINITY, 1e300, 0.5, 7.0, 30.0];
         let (m, u) = (absurd[self.pick(8)], absurd[self.pick(8)]);
-        let report = Report { in_flight: Some(m), utilisation: Some(u), ..Report::default() };
+        let report = LoadReport { in_flight: Some(m), utilisation: Some(u), ..LoadReport::default() };
         (self.pick(5) > 0).then_some(report)
     }
 
@@ -142,13 +142,13 @@
                     .collect();
                 let ring = |world: &mut World| (world.pick(2) == 0).then(|| world.pick(4));
                 let classes = (0..3 + self.pick(3)).map(|_| ring(self)).collect();
-                let residency = Residency { rings, classes, tenants: vec![None, ring(self)] };
+                let residency = Residency { zone_sets: rings, classes, tenants: vec![None, ring(self)] };
                 self.within = Some(residency.clone());
-                Event::Within(residency)
+                Event::ResidencyChanged(residency)
             }
             1 => {
                 let (upstream, well) = (UpstreamId(self.pick(40) as u64), self.pick(2) == 0);
-                Event::Tried { upstream, well }
+                Event::EjectionProbeEnded { upstream, recovered: well }
             }
             2 => {
                 let age = [0.0, -5.0, 40.0, 3_000.0, f64::NAN][self.pick(5)];
@@ -157,16 +157,17 @@
             }
             _ => {
                 let allowance = Allowance { share: [0.0, 0.2, f64::NAN][self.pick(3)], burst: 2 };
-                let lease = ColdLease { requests: 1, until: self.now + 50.0 };
+                let lease = SlowStartLease { requests: 1, until: self.now + 50.0 };
                 let cold = ids(self);
                 Event::Guided(Box::new(Guidance {
-                    admit: vec![0.5, 1.0, f64::NAN],
-                    retries: (self.pick(2) == 0).then_some(allowance),
-                    copies: (self.pick(2) == 0).then_some(allowance),
-                    probes: (self.pick(2) == 0).then(|| ids(self)),
-                    trials: (self.pick(2) == 0).then(|| ids(self)),
-                    cold: (self.pick(2) == 0).then(|| cold.into_iter().map(|id| (id, lease)).collect()),
-                    come_back: [None, Some([0.2, 0.4]), Some([f64::NAN, 9.0])][self.pick(3)],
+                    admit_probability: vec![0.5, 1.0, f64::NAN],
+                    retry_budget: (self.pick(2) == 0).then_some(allowance),
+                    hedge_budget: (self.pick(2) == 0).then_some(allowance),
+                    load_poll_targets: (self.pick(2) == 0).then(|| ids(self)),
+                    ejection_probe_targets: (self.pick(2) == 0).then(|| ids(self)),
+                    slow_start_leases: (self.pick(2) == 0)
+                        .then(|| cold.into_iter().map(|id| (id, lease)).collect()),
+                    retry_after_slice: [None, Some([0.2, 0.4]), Some([f64::NAN, 9.0])][self.pick(3)],
                 }))
             }
         }
@@ -204,7 +205,7 @@
                 let deadline = now + time_left;
                 self.requests
                     .insert(request, Seen { class, tenant, deadline, tries: Vec::new(), ended: false });
-                Event::Arrived { request, class: ClassId(class), tenant, time_left, repeat: false }
+                Event::Arrived { request, class: ClassId(class), tenant, time_left, is_retry: false }
             }
             4..=6 if !out.is_empty() => {
                 let (request, at) = out[self.pick(out.len())];
@@ -232,9 +233,9 @@
                     self.serving.insert(entry.upstream, entry.lifecycle == Lifecycle::Serving);
                 }
                 Event::Listed(match kind {
-                    0 => ListNews::Complete(list),
-                    1 => ListNews::Restored(list),
-                    _ => ListNews::Changed(list),
+                    0 => ListUpdate::Complete(list),
+                    1 => ListUpdate::Restored(list),
+                    _ => ListUpdate::Changed(list),
                 })
             }
             8 if !self.requests.is_empty() => {
@@ -249,19 +250,21 @@
             _ => match self.probes.pop() {
                 Some(upstream) => {
                     let answered = self.pick(4) > 0;
-                    Event::Probed { upstream, answered, report: self.report() }
+                    Event::LoadPolled { upstream, answered, report: self.report() }
                 }
                 // Things nobody asked for.
                 None => match self.pick(3) {
                     0 => Event::Woke(number),
-                    1 => Event::Probed { upstream: UpstreamId(999), answered: true, report: self.report() },
+                    1 => {
+                        Event::LoadPolled { upstream: UpstreamId(999), answered: true, report: self.report() }
+                    }
                     _ => Event::Finished(Finished {
                         request: RequestId(number),
                         attempt: AttemptNo(9),
                         upstream: UpstreamId(1),
                         outcome: Outcome::Ok,
                         latency: f64::NAN,
-                        closed: true,
+                        request_closed: true,
                         report: None,
                     }),
                 },
@@ -279,7 +282,15 @@
         this.outcome = Some(outcome);
         let (upstream, latency) = (this.upstream, now - this.sent);
         let attempt = AttemptNo(at as u32);
-        Event::Finished(Finished { request, attempt, upstream, outcome, latency, closed, report })
+        Event::Finished(Finished {
+            request,
+            attempt,
+            upstream,
+            outcome,
+            latency,
+            request_closed: closed,
+            report,
+        })
     }
 }
 
@@ -325,7 +336,7 @@
 fn rules_and_rings_hold_whatever_a_fleet_tells() {
     for seed in 0..120_u64 {
         let mut settings = settings();
-        settings.limits.duplicates = seed.is_multiple_of(2);
+        settings.limits.concurrent_attempts = seed.is_multiple_of(2);
         for (number, class) in settings.classes.iter_mut().enumerate() {
             class.policy = policies()[(seed as usize + number) % policies().len()].clone();
         }
@@ -337,7 +348,7 @@
 fn rules_hold_under_any_policies() {
     for seed in 0..100_u64 {
         let mut settings = settings();
-        settings.limits.duplicates = !seed.is_multiple_of(4);
+        settings.limits.concurrent_attempts = !seed.is_multiple_of(4);
         for (number, class) in settings.classes.iter_mut().enumerate() {
             class.policy = policies()[(seed as usize + number) % policies().len()].clone();
         }
@@ -346,9 +357,9 @@
 }
 
 fn play(seed: u64, mut settings: Settings, told: bool) {
-    settings.limits.probes = !seed.is_multiple_of(3);
-    settings.crossing_fee = [0.0, 0.02, 0.2][seed as usize % 3];
-    settings.probe_fee = [0.0, 0.0094, 0.08][seed as usize % 3];
+    settings.limits.load_polls = !seed.is_multiple_of(3);
+    settings.cross_zone_cost = [0.0, 0.02, 0.2][seed as usize % 3];
+    settings.load_poll_cost = [0.0, 0.0094, 0.08][seed as usize % 3];
     let start = if seed.is_multiple_of(5) { 0.0 } else { 50_000.0 };
     let mut balancer = Balancer::new(settings.clone(), seed);
     let mut world = World {
--- a/crates/sagemast/tests/as_before.rs
+++ b/crates/sagemast/tests/as_before.rs
@@ -27,17 +27,17 @@
 /// A fleet in three zones with drains, failures, crowds, probes and, where asked for, cold starts; the digest of its
 /// whole run.
 fn run(seed: u64, sidecars: u32, servers: u64, cold_starts: bool) -> u64 {
-    let mut settings = Settings { sidecars, crossing_fee: 0.02, probe_fee: 0.005, ..settings() };
-    settings.sizes_listed = seed.is_multiple_of(2);
-    settings.limits.duplicates = true;
+    let mut settings = Settings { sidecars, cross_zone_cost: 0.02, load_poll_cost: 0.005, ..settings() };
+    settings.weights_are_capacities = seed.is_multiple_of(2);
+    settings.limits.concurrent_attempts = true;
     settings.tenants = vec![Tenant { quota_per_s: 10.0 }, Tenant { quota_per_s: 40.0 }];
-    settings.over_quota_worth = 0.4;
+    settings.over_quota_weight = 0.4;
     let budget = Budget { share: Share(0.3), burst: 4 };
     settings.classes[0].policy = Policy {
         second_copy: Some(SecondCopy { after: CopyAfter::Percentile(80.0), budget }),
         ..Policy::default()
     };
-    settings.classes[4].worth = 3.0;
+    settings.classes[4].priority_weight = 3.0;
     let mut balancer = Balancer::new(settings, seed);
     let mut dice = Rand64::new(u128::from(seed) + 77);
     let mut digest = Digest(0xcbf2_9ce4_8422_2325);
@@ -49,12 +49,12 @@
         zone: ZoneId(id % 3),
         kind: KindId(id % 2),
         weight: 1.0 + (id % 4) as f64,
-        lifecycle: if serves { Lifecycle::Serving } else { Lifecycle::Leaving },
+        lifecycle: if serves { Lifecycle::Serving } else { Lifecycle::Draining },
         started,
         ..listing(id)
     };
     let list = (0..servers).map(|id| entry(id, true, None)).collect();
-    events.push_back(Event::Listed(ListNews::Complete(list)));
+    events.push_back(Event::Listed(ListUpdate::Complete(list)));
     let mut attempts = vec![0_u32; 12_000];
     for number in 0..12_000_u64 {
         now += if number % 3_000 < 1_500 { 0.4 } else { 3.0 } * dice.rand_float();
@@ -62,15 +62,19 @@
         let (class, tenant) =
             (ClassId(dice.rand_range(0..5) as usize), TenantId(dice.rand_range(0..2) as usize));
         let (time_left, repeat) = (150.0 + 400.0 * dice.rand_float(), dice.rand_range(0..9) == 0);
-        events.push_back(Event::Arrived { request, class, tenant, time_left, repeat });
+        events.push_back(Event::Arrived { request, class, tenant, time_left, is_retry: repeat });
         if number.is_multiple_of(97) {
             let id = dice.rand_range(0..servers);
             let (serves, cold) = (dice.rand_range(0..4) > 0, dice.rand_range(0..2) == 0 && cold_starts);
-            events.push_back(Event::Listed(ListNews::Changed(vec![entry(id, serves, cold.then_some(now))])));
+            events.push_back(Event::Listed(ListUpdate::Changed(vec![entry(
+                id,
+                serves,
+                cold.then_some(now),
+            )])));
         }
         if number.is_multiple_of(2_500) {
             let whole = (0..servers).filter(|_| dice.rand_range(0..9) > 0).map(|id| entry(id, true, None));
-            events.push_back(Event::Listed(ListNews::Complete(whole.collect())));
+            events.push_back(Event::Listed(ListUpdate::Complete(whole.collect())));
         }
         while let Some((at, which)) = due.first().copied().filter(|(at, _)| (*at as f64) <= now * 1e3) {
             due.remove(&(at, which));
@@ -98,19 +102,26 @@
                         };
                         let latency = took.min(timeout);
                         let closed = outcome == Outcome::Ok;
-                        let end =
-                            Finished { request, attempt, upstream, outcome, latency, closed, report: None };
+                        let end = Finished {
+                            request,
+                            attempt,
+                            upstream,
+                            outcome,
+                            latency,
+                            request_closed: closed,
+                            report: None,
+                        };
                         (latency, Event::Finished(end))
                     }
-                    Action::Probe(upstream) => {
-                        let report = Report {
+                    Action::PollLoad(upstream) => {
+                        let report = LoadReport {
                             in_flight: Some((6.0 * dice.rand_float()).round()),
                             utilisation: Some(dice.rand_float()),
-                            ..Report::default()
+                            ..LoadReport::default()
                         };
                         (
                             4.0,
-                            Event::Probed {
+                            Event::LoadPolled {
                                 upstream,
                                 answered: dice.rand_range(0..9) > 0,
                                 report: Some(report),
--- a/crates/sagemast/tests/checkpoint.rs
+++ b/crates/sagemast/tests/checkpoint.rs
@@ -24,16 +24,16 @@
                 upstream,
                 outcome: if step % 4 == 0 { Outcome::Error } else { Outcome::Ok },
                 latency: 50.0 * dice.rand_float(),
-                closed: true,
+                request_closed: true,
                 report: None,
             }),
-            (2, _) => Event::Probed {
+            (2, _) => Event::LoadPolled {
                 upstream: UpstreamId(dice.rand_range(1..6)),
                 answered: true,
-                report: Some(Report {
+                report: Some(LoadReport {
                     in_flight: Some(dice.rand_float()),
                     utilisation: Some(dice.rand_float()),
-                    ..Report::default()
+                    ..LoadReport::default()
                 }),
             },
             _ => Event::Arrived {
@@ -41,7 +41,7 @@
                 class: ClassId(dice.rand_range(0..5) as usize),
                 tenant: TenantId(0),
                 time_left: 500.0,
-                repeat: false,
+                is_retry: false,
             },
         };
         let mut again = Vec::new();
@@ -76,20 +76,20 @@
 fn a_capture_holds_what_a_fleet_told_and_refusals_look_as_before() {
     let (upstream, request) = (UpstreamId(7), RequestId(1));
     let guidance = Guidance {
-        admit: vec![0.5],
-        retries: Some(Allowance { share: 0.1, burst: 3 }),
-        probes: Some([upstream].into()),
-        cold: Some([(upstream, ColdLease { requests: 2, until: 5.5 })].into()),
-        come_back: Some([0.25, 0.5]),
+        admit_probability: vec![0.5],
+        retry_budget: Some(Allowance { share: 0.1, burst: 3 }),
+        load_poll_targets: Some([upstream].into()),
+        slow_start_leases: Some([(upstream, SlowStartLease { requests: 2, until: 5.5 })].into()),
+        retry_after_slice: Some([0.25, 0.5]),
         ..Guidance::default()
     };
     let rings = vec![[ZoneId(3)].into(), Default::default()];
-    let residency = Residency { rings, classes: vec![Some(0), None], tenants: vec![Some(1)] };
+    let residency = Residency { zone_sets: rings, classes: vec![Some(0), None], tenants: vec![Some(1)] };
     for event in [
         Event::Guided(Box::new(guidance)),
-        Event::Reported { upstream, report: Report::default(), age: 2.5 },
-        Event::Tried { upstream, well: true },
-        Event::Within(residency),
+        Event::Reported { upstream, report: LoadReport::default(), age: 2.5 },
+        Event::EjectionProbeEnded { upstream, recovered: true },
+        Event::ResidencyChanged(residency),
     ] {
         let text = serde_json::to_string(&event).unwrap();
         assert_eq!(serde_json::from_str::<Event>(&text).unwrap(), event, "{text}");
--- a/crates/sagemast/tests/classes.rs
+++ b/crates/sagemast/tests/classes.rs
@@ -13,14 +13,15 @@
 /// cores.
 fn fleet(worths: [f64; 2]) -> (Settings, Vec<u64>) {
     let mut settings = settings();
-    let effects = [Effect::Once, Effect::ByKey { scope: Scope::All, window: 4_000.0 }];
+    let effects =
+        [Idempotency::NotIdempotent, Idempotency::ByKey { scope: DedupScope::All, window: 4_000.0 }];
     settings.classes = effects
         .into_iter()
         .zip(worths)
-        .map(|(effect, worth)| Class { worth, aim: 600.0, ..class(effect) })
+        .map(|(effect, worth)| Class { priority_weight: worth, latency_objective: 600.0, ..class(effect) })
         .collect();
     settings.sidecars = 300;
-    settings.sizes_listed = true;
+    settings.weights_are_capacities = true;
     (settings, (0..60).collect())
 }
 
@@ -114,7 +115,7 @@
 fn a_class_of_no_worth_or_no_aim_does_no_harm() {
     for (worth, aim) in [(0.0, 600.0), (-1.0, 600.0), (f64::NAN, 600.0), (10.0, 0.0), (0.0, 0.0)] {
         let (mut settings, ids) = fleet([worth, 30.0]);
-        settings.classes[CHEAP.0].aim = aim;
+        settings.classes[CHEAP.0].latency_objective = aim;
         let list = ids.iter().map(|id| Listing { weight: 3.0, ..listing(*id) }).collect();
         let mut stage = Stage::new(settings, list);
         let mut sent = 0;
@@ -154,7 +155,7 @@
 #[test]
 fn limits_go_by_the_sidecars_that_share_a_server() {
     let sent = |sidecars: u32, servers: u64| {
-        let settings = Settings { sidecars, sizes_listed: true, ..settings() };
+        let settings = Settings { sidecars, weights_are_capacities: true, ..settings() };
         let list = (0..servers).map(|id| Listing { weight: 10.0, ..listing(id) }).collect();
         let mut stage = Stage::new(settings, list);
         // With one more they hold 1.1 times what they work on.
@@ -178,12 +179,13 @@
         )
     };
     for (counted_by, by_work) in [("work", true), ("request", false)] {
-        let config: sagemast::settings::Config = serde_json::from_str(&text(counted_by)).expect("settings");
-        assert_eq!(config.settings().worth_by_work, by_work, "{counted_by}");
+        let config: sagemast::settings::PlatformSettings =
+            serde_json::from_str(&text(counted_by)).expect("settings");
+        assert_eq!(config.settings().weight_per_work, by_work, "{counted_by}");
     }
     let refused_of_long = |worth_by_work: bool| {
         let (mut settings, ids) = fleet([10.0, 10.0]);
-        settings.worth_by_work = worth_by_work;
+        settings.weight_per_work = worth_by_work;
         let told = play_with(settings, &ids, 50, [6.0, 2.0], [160.0, 40.0]);
         let [long, short] = shares(told);
         long / short
@@ -229,7 +231,7 @@
         worth_by_work: bool,
     ) {
         let (mut settings, ids) = fleet([10.0, 10.0 * 10_f64.powf(worth)]);
-        (settings.sidecars, settings.worth_by_work) = (sidecars, worth_by_work);
+        (settings.sidecars, settings.weight_per_work) = (sidecars, worth_by_work);
         let service = service.map(|power| 10_f64.powf(power));
         let mut world = World::new(settings, &ids);
         world.play(600, cheap, [busy, free], service);
--- a/crates/sagemast/tests/cold/main.rs
+++ b/crates/sagemast/tests/cold/main.rs
@@ -36,7 +36,12 @@
         zones: 1,
         servers,
         sizes_listed: true,
-        safety: Safety { cold_share: 0.3, warm_up: 8_000.0, fall_multiple: 3.0, fall: 2_000.0 },
+        safety: SlowStartRules {
+            initial_share: 0.3,
+            warm_up: 8_000.0,
+            overload_multiple: 3.0,
+            overload_window: 2_000.0,
+        },
         service: 50.0,
         load: 0.8,
         unevenness: 4.0,
@@ -98,9 +103,14 @@
     (1_u8..=4, 0.8..1.25, prop::bool::weighted(0.4))
 }
 
-fn any_safety() -> impl Strategy<Value = Safety> {
+fn any_safety() -> impl Strategy<Value = SlowStartRules> {
     (0.1..0.5, 2_000.0..15_000.0, 2.0..4.0, 1_000.0..3_000.0).prop_map(
-        |(cold_share, warm_up, fall_multiple, fall)| Safety { cold_share, warm_up, fall_multiple, fall },
+        |(cold_share, warm_up, fall_multiple, fall)| SlowStartRules {
+            initial_share: cold_share,
+            warm_up,
+            overload_multiple: fall_multiple,
+            overload_window: fall,
+        },
     )
 }
 
@@ -115,7 +125,7 @@
 type Traffic = (f64, f64, f64, Option<f64>, f64);
 type Other = (u32, bool, bool, Option<f64>);
 
-fn drawn((sizes, traffic, other, safety): (Sizes, Traffic, Other, Safety)) -> Scenario {
+fn drawn((sizes, traffic, other, safety): (Sizes, Traffic, Other, SlowStartRules)) -> Scenario {
     let (sidecars, sizes, zones, to_a_cell) = sizes;
     let (load, unevenness, least_service, burst, errors) = traffic;
     let (seed, sizes_listed, all_cold, restart) = other;
@@ -127,7 +137,7 @@
         starts_cold: *starts_cold || all_cold,
     };
     let servers: Vec<Server> = sizes.iter().enumerate().map(server).collect();
-    let lasts = 2.5 * safety.fall;
+    let lasts = 2.5 * safety.overload_window;
     let cores: f64 = servers.iter().map(|server| server.cores).sum();
     let service = f64::max(least_service, load * cores * (lasts + world::BEFORE) / ARRIVALS);
     Scenario {
@@ -136,8 +146,12 @@
         zones,
         servers,
         sizes_listed,
-        burst: burst.map(|factor| Burst { from: 0.3 * safety.fall, to: 1.5 * safety.fall, factor }),
-        restart: restart.map(|share| (0.7 * safety.fall, share)),
+        burst: burst.map(|factor| Burst {
+            from: 0.3 * safety.overload_window,
+            to: 1.5 * safety.overload_window,
+            factor,
+        }),
+        restart: restart.map(|share| (0.7 * safety.overload_window, share)),
         safety,
         service,
         load,
--- a/crates/sagemast/tests/cold/world.rs
+++ b/crates/sagemast/tests/cold/world.rs
@@ -48,7 +48,7 @@
     pub zones: u64,
     pub servers: Vec<Server>,
     pub sizes_listed: bool,
-    pub safety: Safety,
+    pub safety: SlowStartRules,
     /// Mean service time at one core.
     pub service: Millis,
     /// Arrivals by what all servers can do when warm.
@@ -140,11 +140,11 @@
 impl<'s> World<'s> {
     fn new(scenario: &'s Scenario) -> World<'s> {
         let mut settings = Settings { sidecars: scenario.sidecars, ..common::settings() };
-        settings.sizes_listed = scenario.sizes_listed;
-        settings.safety = scenario.safety.clone();
-        settings.limits.probes = false;
-        settings.classes.iter_mut().for_each(|class| class.aim = 6.0 * scenario.service);
-        settings.crossing_fee = if scenario.zones > 1 { 0.02 } else { 0.0 };
+        settings.weights_are_capacities = scenario.sizes_listed;
+        settings.slow_start = scenario.safety.clone();
+        settings.limits.load_polls = false;
+        settings.classes.iter_mut().for_each(|class| class.latency_objective = 6.0 * scenario.service);
+        settings.cross_zone_cost = if scenario.zones > 1 { 0.02 } else { 0.0 };
         let mut world = World {
             scenario,
             settings,
@@ -177,7 +177,7 @@
         let settings =
             Settings { zone: ZoneId(number as u64 % self.scenario.zones), ..self.settings.clone() };
         let mut balancer = Balancer::new(settings, seed);
-        balancer.handle(self.now, Event::Listed(ListNews::Complete(self.list())), &mut Vec::new());
+        balancer.handle(self.now, Event::Listed(ListUpdate::Complete(self.list())), &mut Vec::new());
         balancer
     }
 
@@ -238,7 +238,7 @@
                 }
                 Happening::Wake { .. } => {}
                 Happening::ServersStart => {
-                    let news = Event::Listed(ListNews::Changed(self.list()));
+                    let news = Event::Listed(ListUpdate::Changed(self.list()));
                     (0..self.sidecars.len()).for_each(|sidecar| self.tell(sidecar, news.clone()));
                 }
                 Happening::SidecarsRestart => self.restart(),
@@ -265,7 +265,7 @@
         let request = RequestId(requests.len() as u64 - 1);
         let time_left = 12.0 * self.scenario.service;
         let (class, tenant) = (ClassId(class), TenantId(0));
-        self.tell(sidecar, Event::Arrived { request, class, tenant, time_left, repeat: tries > 0 });
+        self.tell(sidecar, Event::Arrived { request, class, tenant, time_left, is_retry: tries > 0 });
     }
 
     fn end(
@@ -283,8 +283,11 @@
         }
         let (held, cores) = (f64::from(self.in_flight[server]), self.scenario.servers[server].cores);
         let able = cores * self.warmth(server, self.now);
-        let report =
-            Report { in_flight: Some(held), utilisation: Some((held / able).min(1.0)), ..Report::default() };
+        let report = LoadReport {
+            in_flight: Some(held),
+            utilisation: Some((held / able).min(1.0)),
+            ..LoadReport::default()
+        };
         let outcome = if fails { Outcome::Error } else { Outcome::Ok };
         let end = Finished {
             request: RequestId(request),
@@ -292,7 +295,7 @@
             upstream: UpstreamId(server as u64),
             outcome,
             latency: took,
-            closed: !fails,
+            request_closed: !fails,
             report: Some(report),
         };
         self.tell(sidecar, Event::Finished(end));
@@ -345,20 +348,21 @@
 
     /// The share of its capacity that a server has at a time.
     fn warmth(&self, server: usize, at: Millis) -> f64 {
-        let Safety { cold_share, warm_up, .. } = self.scenario.safety;
+        let SlowStartRules { initial_share: cold_share, warm_up, .. } = self.scenario.safety;
         let age = ((at - BEFORE) / warm_up).clamp(0.0, 1.0);
         if self.cold(server) && at >= BEFORE { cold_share + (1.0 - cold_share) * age } else { 1.0 }
     }
 
     /// N: how many requests of mean work the settings allow in a window that begins then.
     fn allowed(&self, server: usize, from: Millis) -> f64 {
-        let Safety { fall_multiple, fall, .. } = self.scenario.safety;
+        let SlowStartRules { overload_multiple: fall_multiple, overload_window: fall, .. } =
+            self.scenario.safety;
         let cores = self.scenario.servers[server].cores;
         fall_multiple * self.warmth(server, from) * cores * fall / self.scenario.service
     }
 
     fn count(&self) -> Count {
-        let Safety { fall, warm_up, .. } = self.scenario.safety;
+        let SlowStartRules { overload_window: fall, warm_up, .. } = self.scenario.safety;
         let end = BEFORE + self.scenario.lasts.min(warm_up);
         let last = (end - fall).max(BEFORE);
         let (mut fullest, mut done, mut could) = (0.0_f64, 0.0, 0.0);
--- a/crates/sagemast/tests/common/mod.rs
+++ b/crates/sagemast/tests/common/mod.rs
@@ -10,42 +10,53 @@
 pub const BY_ZONE: ClassId = ClassId(3);
 pub const BY_ALL: ClassId = ClassId(4);
 
-pub fn class(effect: Effect) -> Class {
-    Class { aim: 200.0, worth: 1.0, late_worth: 0.0, effect, policy: Default::default() }
+pub fn class(effect: Idempotency) -> Class {
+    Class {
+        latency_objective: 200.0,
+        priority_weight: 1.0,
+        late_weight: 0.0,
+        idempotency: effect,
+        policy: Default::default(),
+    }
 }
 
-pub fn keyed(scope: Scope) -> Class {
-    class(Effect::ByKey { scope, window: 300.0 })
+pub fn keyed(scope: DedupScope) -> Class {
+    class(Idempotency::ByKey { scope, window: 300.0 })
 }
 
 pub fn settings() -> Settings {
     Settings {
         classes: vec![
-            class(Effect::Repeatable),
-            keyed(Scope::Cell),
-            class(Effect::Once),
-            keyed(Scope::Zone),
-            keyed(Scope::All),
+            class(Idempotency::Idempotent),
+            keyed(DedupScope::Cell),
+            class(Idempotency::NotIdempotent),
+            keyed(DedupScope::Zone),
+            keyed(DedupScope::All),
         ],
         tenants: Vec::new(),
-        over_quota_worth: 1.0,
+        over_quota_weight: 1.0,
         zone: ZoneId(0),
         sidecars: 2,
-        crossing_fee: 0.0,
-        probe_fee: 0.0,
+        cross_zone_cost: 0.0,
+        load_poll_cost: 0.0,
         limits: Limits {
             max_attempts: 4,
-            duplicates: false,
-            probes: true,
+            concurrent_attempts: false,
+            load_polls: true,
             cancel: true,
             max_retry_after: 400.0,
             tick: 4.0,
         },
-        safety: Safety { cold_share: 0.2, warm_up: 20_000.0, fall_multiple: 2.5, fall: 2_000.0 },
-        sizes_listed: false,
-        worth_by_work: false,
+        slow_start: SlowStartRules {
+            initial_share: 0.2,
+            warm_up: 20_000.0,
+            overload_multiple: 2.5,
+            overload_window: 2_000.0,
+        },
+        weights_are_capacities: false,
+        weight_per_work: false,
         retry_budget: None,
-        copy_budget: None,
+        hedge_budget: None,
     }
 }
 
@@ -77,7 +88,7 @@
     pub fn seeded(settings: Settings, servers: Vec<Listing>, seed: u64) -> Stage {
         let mut stage =
             Stage { balancer: Balancer::new(settings, seed), now: 1_000.0, next: 0, reports: 0.0 };
-        stage.event(Event::Listed(ListNews::Restored(servers)));
+        stage.event(Event::Listed(ListUpdate::Restored(servers)));
         stage
     }
 
@@ -104,7 +115,8 @@
     pub fn arrive_again(&mut self, class: ClassId, repeat: bool) -> (RequestId, Vec<Action>) {
         self.next += 1;
         let request = RequestId(self.next);
-        let event = Event::Arrived { request, class, tenant: TenantId(0), time_left: 500.0, repeat };
+        let event =
+            Event::Arrived { request, class, tenant: TenantId(0), time_left: 500.0, is_retry: repeat };
         let actions = self.event(event);
         (request, actions)
     }
@@ -123,7 +135,7 @@
             upstream,
             outcome,
             latency,
-            closed: outcome == Outcome::Ok,
+            request_closed: outcome == Outcome::Ok,
             report: None,
         }))
     }
@@ -131,13 +143,13 @@
     pub fn report(&mut self, id: u64, in_flight: f64, utilisation: f64) {
         // Every report is a new one: the last figure is different each time.
         self.reports += 1.0;
-        let report = Report {
+        let report = LoadReport {
             in_flight: Some(in_flight),
             utilisation: Some(utilisation),
             served_per_s: Some(self.reports),
-            ..Report::default()
+            ..LoadReport::default()
         };
-        self.event(Event::Probed { upstream: UpstreamId(id), answered: true, report: Some(report) });
+        self.event(Event::LoadPolled { upstream: UpstreamId(id), answered: true, report: Some(report) });
     }
 }
 
--- a/crates/sagemast/tests/deployments.rs
+++ b/crates/sagemast/tests/deployments.rs
@@ -14,16 +14,16 @@
     for _ in 0..300 {
         stage.now += 30.0;
         let (request, actions) = stage.arrive(REPEATABLE);
-        probes += actions.iter().filter(|action| matches!(action, Action::Probe(_))).count();
+        probes += actions.iter().filter(|action| matches!(action, Action::PollLoad(_))).count();
         let Some(upstream) = sent_to(&actions) else { continue };
-        let report = Report { in_flight: Some(2.0), utilisation: Some(0.5), ..Report::default() };
+        let report = LoadReport { in_flight: Some(2.0), utilisation: Some(0.5), ..LoadReport::default() };
         stage.event(Event::Finished(Finished {
             request,
             attempt: AttemptNo(0),
             upstream,
             outcome: Outcome::Ok,
             latency: 25.0,
-            closed: true,
+            request_closed: true,
             report: piggyback.then_some(report),
         }));
         served += 1;
@@ -34,21 +34,21 @@
 #[test]
 fn no_probes_and_no_reports() {
     let mut settings = settings();
-    settings.limits.probes = false;
+    settings.limits.load_polls = false;
     assert_eq!(serve(settings, (1..=4).map(listing).collect(), false), (300, 0));
 }
 
 #[test]
 fn reports_in_answers() {
     let mut settings = settings();
-    settings.limits.probes = false;
+    settings.limits.load_polls = false;
     assert_eq!(serve(settings, (1..=4).map(listing).collect(), true), (300, 0));
 }
 
 #[test]
 fn one_server_in_another_zone() {
     let mut settings = settings();
-    settings.crossing_fee = 0.2;
+    settings.cross_zone_cost = 0.2;
     let far = Listing { zone: ZoneId(5), ..listing(1) };
     assert_eq!(serve(settings, vec![far], false).0, 300);
 }
@@ -72,7 +72,7 @@
 #[test]
 fn duplicates_allowed() {
     let mut settings = settings();
-    settings.limits.duplicates = true;
+    settings.limits.concurrent_attempts = true;
     assert_eq!(serve(settings, (1..=4).map(listing).collect(), false).0, 300);
 }
 
@@ -126,12 +126,12 @@
 fn a_subset_is_filled_up_when_servers_leave() {
     let settings = Settings { sidecars: 1_000, ..settings() };
     let mut stage = Stage::new(settings, (1..=200).map(listing).collect());
-    stage.event(Event::Listed(ListNews::Complete((1..=5).map(listing).collect())));
+    stage.event(Event::Listed(ListUpdate::Complete((1..=5).map(listing).collect())));
     assert_eq!(sends(&mut stage).len(), 5);
     // And when others come it is a part again, while those that stay are the same for the same list.
-    stage.event(Event::Listed(ListNews::Changed((6..=400).map(listing).collect())));
+    stage.event(Event::Listed(ListUpdate::Changed((6..=400).map(listing).collect())));
     let first = sends(&mut stage);
     assert_eq!(first.len(), 16);
-    stage.event(Event::Listed(ListNews::Complete((1..=400).map(listing).collect())));
+    stage.event(Event::Listed(ListUpdate::Complete((1..=400).map(listing).collect())));
     assert_eq!(sends(&mut stage), first);
 }
--- a/crates/sagemast/tests/guided.rs
+++ b/crates/sagemast/tests/guided.rs
@@ -17,7 +17,7 @@
 
 fn probes(actions: &[Action]) -> Vec<u64> {
     let probe = |action: &Action| match action {
-        Action::Probe(id) => Some(id.0),
+        Action::PollLoad(id) => Some(id.0),
         _ => None,
     };
     actions.iter().filter_map(probe).collect()
@@ -33,8 +33,8 @@
 
 fn within(zones: &[&[u64]], classes: &[Option<usize>]) -> Event {
     let ring = |zones: &&[u64]| zones.iter().map(|zone| ZoneId(*zone)).collect();
-    Event::Within(Residency {
-        rings: zones.iter().map(ring).collect(),
+    Event::ResidencyChanged(Residency {
+        zone_sets: zones.iter().map(ring).collect(),
         classes: classes.to_vec(),
         tenants: Vec::new(),
     })
@@ -49,7 +49,10 @@
 fn what_the_fleet_sheds_is_refused_before_any_send_and_asked_back_within_its_slice() {
     let mut stage = Stage::new(settings(), zones());
     let admit = vec![0.25, 1.0, 1.0, 1.0, 1.0];
-    guided(&mut stage, Guidance { admit, come_back: Some([0.5, 0.75]), ..Guidance::default() });
+    guided(
+        &mut stage,
+        Guidance { admit_probability: admit, retry_after_slice: Some([0.5, 0.75]), ..Guidance::default() },
+    );
     let mut shed = 0;
     for _ in 0..2_000 {
         stage.now += 1.0;
@@ -75,7 +78,7 @@
 #[test]
 fn only_duties_are_asked_for_their_load_and_all_of_them_in_time() {
     let mut stage = Stage::new(settings(), zones());
-    guided(&mut stage, Guidance { probes: ids(&[2, 5, 11]), ..Guidance::default() });
+    guided(&mut stage, Guidance { load_poll_targets: ids(&[2, 5, 11]), ..Guidance::default() });
     let mut asked = Vec::new();
     for _ in 0..100 {
         stage.now += 10.0;
@@ -98,7 +101,10 @@
         sent_to(&stage.finish(request, 0, upstream, Outcome::Full, 0.5)).is_some()
     };
     assert!(retried(&mut stage));
-    guided(&mut stage, Guidance { retries: Some(Allowance { share: 0.5, burst: 1 }), ..Guidance::default() });
+    guided(
+        &mut stage,
+        Guidance { retry_budget: Some(Allowance { share: 0.5, burst: 1 }), ..Guidance::default() },
+    );
     let spent: Vec<bool> = (0..4)
         .map(|_| {
             stage.now += 2_000.0;
@@ -136,13 +142,13 @@
     };
     eject(&mut stage);
     stage.now += 5_000.0;
-    guided(&mut stage, Guidance { trials: ids(&[]), ..Guidance::default() });
+    guided(&mut stage, Guidance { ejection_probe_targets: ids(&[]), ..Guidance::default() });
     assert!(!meets(&mut stage), "its trial is another's");
-    stage.event(Event::Tried { upstream: UpstreamId(3), well: false });
-    guided(&mut stage, Guidance { trials: ids(&[3]), ..Guidance::default() });
+    stage.event(Event::EjectionProbeEnded { upstream: UpstreamId(3), recovered: false });
+    guided(&mut stage, Guidance { ejection_probe_targets: ids(&[3]), ..Guidance::default() });
     assert!(!meets(&mut stage), "left alone after another's trial failed");
-    guided(&mut stage, Guidance { trials: ids(&[]), ..Guidance::default() });
-    stage.event(Event::Tried { upstream: UpstreamId(3), well: true });
+    guided(&mut stage, Guidance { ejection_probe_targets: ids(&[]), ..Guidance::default() });
+    stage.event(Event::EjectionProbeEnded { upstream: UpstreamId(3), recovered: true });
     assert!(meets(&mut stage), "back after another's trial");
 }
 
@@ -161,8 +167,8 @@
         sent
     };
     let lease = |requests, until| {
-        let cold = [(UpstreamId(2), ColdLease { requests, until })].into_iter().collect();
-        Guidance { cold: Some(cold), ..Guidance::default() }
+        let cold = [(UpstreamId(2), SlowStartLease { requests, until })].into_iter().collect();
+        Guidance { slow_start_leases: Some(cold), ..Guidance::default() }
     };
     guided(&mut stage, lease(7, 2_000.0));
     assert_eq!(sent(&mut stage)[2..], [7, 0], "what is leased, and nothing of whom the fleet did not name");
@@ -189,11 +195,11 @@
         stage.report(2, 1.0, 0.5);
     }
     let told = |stage: &mut Stage, age, number| {
-        let report = Report {
+        let report = LoadReport {
             in_flight: Some(0.0),
             utilisation: Some(0.1),
             served_per_s: Some(f64::from(number)),
-            ..Report::default()
+            ..LoadReport::default()
         };
         stage.event(Event::Reported { upstream: UpstreamId(1), report, age });
     };
@@ -237,7 +243,7 @@
     stage.now += 1.0;
     assert!(failed(&stage.finish(keyed, 0, second, Outcome::Error, 1.0)), "its zone is out of bounds now");
     let (class, tenant) = (ClassId(4), TenantId(0));
-    let new = Residency { rings: Vec::new(), classes: vec![None; 4], tenants: Vec::new() };
+    let new = Residency { zone_sets: Vec::new(), classes: vec![None; 4], tenants: Vec::new() };
     assert!(!new.allows(class, tenant, ZoneId(2)), "a class that its rules were not told of yet");
 }
 
@@ -255,7 +261,7 @@
     };
     assert!(meets(&mut stage, 4));
     let to = |zone, id| Listing { zone: ZoneId(zone), ..listing(id) };
-    stage.event(Event::Listed(ListNews::Changed(vec![to(2, 4), to(1, 9)])));
+    stage.event(Event::Listed(ListUpdate::Changed(vec![to(2, 4), to(1, 9)])));
     assert!(!meets(&mut stage, 4));
     assert!(meets(&mut stage, 9));
 }
--- a/crates/sagemast/tests/health.rs
+++ b/crates/sagemast/tests/health.rs
@@ -90,7 +90,7 @@
         let (request, actions) = stage.arrive(REPEATABLE);
         for action in &actions {
             // It answers probes, and always looks as if it had just finished everything.
-            if let Action::Probe(upstream) = action {
+            if let Action::PollLoad(upstream) = action {
                 stage.report(upstream.0, 0.0, 0.0);
             }
         }
@@ -159,10 +159,10 @@
 #[test]
 fn the_least_worth_is_refused_first() {
     let mut settings = settings();
-    settings.classes[REPEATABLE.0].worth = 0.2;
-    settings.classes[BY_ALL.0].worth = 4.0;
+    settings.classes[REPEATABLE.0].priority_weight = 0.2;
+    settings.classes[BY_ALL.0].priority_weight = 4.0;
     settings.tenants = vec![Tenant { quota_per_s: 50.0 }, Tenant { quota_per_s: 50.0 }];
-    settings.over_quota_worth = 0.05;
+    settings.over_quota_weight = 0.05;
     let mut refusals = std::collections::BTreeMap::new();
     let ids: Vec<u64> = (0..40).collect();
     let mut stage = Stage::new(settings, ids.iter().copied().map(listing).collect());
@@ -174,7 +174,8 @@
         let (class, tenant) = ([REPEATABLE, BY_ALL][(number / 16 % 2) as usize], u64::from(number % 5 == 0));
         let request = RequestId(number);
         let tenant = TenantId(tenant as usize);
-        let actions = stage.event(Event::Arrived { request, class, tenant, time_left: 500.0, repeat: false });
+        let actions =
+            stage.event(Event::Arrived { request, class, tenant, time_left: 500.0, is_retry: false });
         let count: &mut (u32, u32) = refusals.entry((class, tenant)).or_default();
         count.1 += 1;
         count.0 += u32::from(refused(&actions));
@@ -221,7 +222,7 @@
 #[test]
 fn room_shrinks_while_answers_are_late() {
     let mut settings = settings();
-    settings.classes[REPEATABLE.0].aim = 400.0;
+    settings.classes[REPEATABLE.0].latency_objective = 400.0;
     let ids: Vec<u64> = (1..=6).collect();
     let accepted = |late: bool| {
         let mut stage = Stage::new(settings.clone(), ids.iter().copied().map(listing).collect());
@@ -266,7 +267,7 @@
 #[test]
 fn cold_servers_do_not_make_the_others_look_crowded() {
     let mut settings = settings();
-    settings.safety.warm_up = 100_000.0;
+    settings.slow_start.warm_up = 100_000.0;
     let mut stage = Stage::new(settings, vec![listing(1), listing(2)]);
     stage.settle(&[1, 2], 0.8, 0.1);
     let (mut cold, mut started) = (0, f64::INFINITY);
@@ -274,7 +275,7 @@
         if round == 40 {
             started = stage.now;
             let entry = Listing { started: Some(stage.now), ..listing(2) };
-            stage.event(Event::Listed(ListNews::Changed(vec![entry])));
+            stage.event(Event::Listed(ListUpdate::Changed(vec![entry])));
         }
         stage.now += 100.0;
         stage.report(1, if round < 40 { 0.8 } else { 7.5 }, 0.05);
@@ -364,7 +365,7 @@
     stage.now += 400.0;
     let (_, actions) = stage.arrive(REPEATABLE);
     assert!(refused(&actions));
-    assert!(actions.iter().any(|action| matches!(action, Action::Probe(_))));
+    assert!(actions.iter().any(|action| matches!(action, Action::PollLoad(_))));
 }
 
 /// Guards against branding: a server that was slow once is tried again after a while.
--- a/crates/sagemast/tests/limits.rs
+++ b/crates/sagemast/tests/limits.rs
@@ -24,7 +24,7 @@
 #[test]
 fn the_operators_are_told_every_policy_file() {
     let files = policy_files();
-    for name in ["brain", "fleet", "slow_start", "state"] {
+    for name in ["brain", "endpoints", "slow_start", "state"] {
         let file = format!("crates/sagemast/src/{name}.rs");
         assert!(files.contains(&file), "{file} is not among {files:?}");
     }
--- a/crates/sagemast/tests/pick.rs
+++ b/crates/sagemast/tests/pick.rs
@@ -31,7 +31,7 @@
             out.push((stage.now + hold, request, to));
         }
         for action in actions {
-            if let Action::Probe(upstream) = action {
+            if let Action::PollLoad(upstream) = action {
                 let (_, kappa) = kappas.iter().find(|(id, _)| *id == upstream.0).unwrap();
                 let in_flight = *held.get(&upstream.0).unwrap_or(&0) as f64;
                 stage.report(upstream.0, in_flight, (in_flight / kappa).min(1.0));
@@ -103,7 +103,7 @@
 #[test]
 fn a_report_below_our_own_outstanding_is_not_believed() {
     let mut settings = settings();
-    settings.classes[REPEATABLE.0].aim = 450.0;
+    settings.classes[REPEATABLE.0].latency_objective = 450.0;
     let mut stage = Stage::new(settings, vec![listing(1), listing(2)]);
     stage.report(1, 0.0, 0.0);
     stage.report(2, 0.0, 0.0);
@@ -147,14 +147,14 @@
         let mut balancer = Balancer::new(settings(), seed);
         let mut all = Vec::new();
         let list = (1..=6).map(listing).collect();
-        balancer.handle(0.0, Event::Listed(ListNews::Restored(list)), &mut all);
+        balancer.handle(0.0, Event::Listed(ListUpdate::Restored(list)), &mut all);
         for id in 0..300 {
             let event = Event::Arrived {
                 request: RequestId(id),
                 class: ClassId(id as usize % 5),
                 tenant: TenantId(0),
                 time_left: 400.0,
-                repeat: false,
+                is_retry: false,
             };
             balancer.handle(id as f64 * 7.0, event, &mut all);
         }
@@ -167,7 +167,7 @@
 #[test]
 fn near_servers_are_kept_to_while_they_have_room() {
     let mut settings = settings();
-    settings.crossing_fee = 0.1;
+    settings.cross_zone_cost = 0.1;
     let servers = (1..=6).map(|id| Listing { zone: ZoneId(id % 2), ..listing(id) }).collect();
     let mut stage = Stage::new(settings, servers);
     stage.settle(&[1, 2, 3, 4, 5, 6], 1.0, 0.25);
@@ -208,7 +208,7 @@
 #[test]
 fn late_reports_are_not_followed() {
     let mut settings = settings();
-    settings.classes[REPEATABLE.0].aim = 450.0;
+    settings.classes[REPEATABLE.0].latency_objective = 450.0;
     let mut stage = Stage::new(settings, vec![listing(1), listing(2), listing(3)]);
     stage.settle(&[1, 2, 3], 4.0, 0.75);
     let mut sends = BTreeMap::new();
@@ -283,12 +283,12 @@
         class: ONCE,
         tenant: TenantId(0),
         time_left: 500.0,
-        repeat: false,
+        is_retry: false,
     };
     let actions = stage.event(event);
     assert!(sent_to(&actions).is_some(), "{actions:?}");
     for id in [1, 2] {
-        assert!(actions.contains(&Action::Probe(UpstreamId(id))), "{actions:?}");
+        assert!(actions.contains(&Action::PollLoad(UpstreamId(id))), "{actions:?}");
     }
 }
 
@@ -298,7 +298,7 @@
 fn a_send_is_given_up_when_its_answer_has_lost_its_worth() {
     let timeout = |late_worth: f64| {
         let mut settings = settings();
-        settings.classes[ONCE.0].late_worth = late_worth;
+        settings.classes[ONCE.0].late_weight = late_worth;
         let (_, actions) = Stage::new(settings, vec![listing(1), listing(2)]).arrive(ONCE);
         let sent = actions.iter().find_map(|action| match action {
             Action::Send { timeout, .. } => Some(*timeout),
--- a/crates/sagemast/tests/routes.rs
+++ b/crates/sagemast/tests/routes.rs
@@ -14,9 +14,9 @@
 }
 
 /// A stage whose sixth class has a policy.
-fn stage(effect: Effect, policy: Policy) -> Stage {
+fn stage(effect: Idempotency, policy: Policy) -> Stage {
     let mut settings = settings();
-    settings.limits.duplicates = true;
+    settings.limits.concurrent_attempts = true;
     settings.classes.push(Class { policy, ..class(effect) });
     Stage::new(settings, servers())
 }
@@ -53,20 +53,20 @@
 #[test]
 fn attempts_and_resends_are_counted_apart() {
     let policy = Policy { attempts: Some(2), resends: Some(1), ..Policy::default() };
-    let of = |failures: &[Outcome]| sends(&mut stage(Effect::Repeatable, policy.clone()), failures);
+    let of = |failures: &[Outcome]| sends(&mut stage(Idempotency::Idempotent, policy.clone()), failures);
     assert_eq!(of(&[Outcome::Error; 4]), 2, "two that may have run");
     assert_eq!(of(&[Outcome::Unreachable; 4]), 3, "and one more where they have not");
     assert_eq!(of(&[Outcome::Unreachable, Outcome::Error, Outcome::Error]), 3);
     assert_eq!(of(&[Outcome::Error, Outcome::Error, Outcome::Unreachable]), 2);
     let once = Policy { resends: Some(2), ..Policy::default() };
-    let of = |failures: &[Outcome]| sends(&mut stage(Effect::Once, once.clone()), failures);
+    let of = |failures: &[Outcome]| sends(&mut stage(Idempotency::NotIdempotent, once.clone()), failures);
     assert_eq!((of(&[Outcome::Unreachable; 4]), of(&[Outcome::Reset; 4])), (3, 1));
 }
 
 #[test]
 fn only_the_ends_that_are_named_are_followed() {
     let policy = Policy { retry_on: Some(vec![Failure::Reset]), ..Policy::default() };
-    let of = |failure| sends(&mut stage(Effect::Repeatable, policy.clone()), &[failure]);
+    let of = |failure| sends(&mut stage(Idempotency::Idempotent, policy.clone()), &[failure]);
     assert_eq!((of(Outcome::Reset), of(Outcome::Error), of(Outcome::Full)), (2, 1, 1));
 }
 
@@ -82,7 +82,7 @@
         }),
         ..Policy::default()
     };
-    let mut stage = stage(Effect::Once, greedy);
+    let mut stage = stage(Idempotency::NotIdempotent, greedy);
     let (request, actions) = stage.arrive(ROUTED);
     let to = sent_to(&actions).expect("it is sent");
     let (at, token) = wake(&actions).expect("it asks for a copy");
@@ -95,7 +95,7 @@
 fn an_attempt_and_the_whole_are_bounded_in_time() {
     let policy =
         Policy { attempt_timeout: Some(Span(70.0)), overall: Some(Span(150.0)), ..Policy::default() };
-    let mut stage = stage(Effect::Repeatable, policy);
+    let mut stage = stage(Idempotency::Idempotent, policy);
     let (request, actions) = stage.arrive(ROUTED);
     assert_eq!(timeout(&actions), Some(70.0));
     let to = sent_to(&actions).expect("it is sent");
@@ -111,7 +111,7 @@
 #[test]
 fn a_pause_is_kept_and_grows() {
     let backoff = Backoff { first: Span(10.0), factor: 3.0, most: Span(25.0), jitter: Share(0.0) };
-    let mut stage = stage(Effect::Repeatable, Policy { backoff: Some(backoff), ..Policy::default() });
+    let mut stage = stage(Idempotency::Idempotent, Policy { backoff: Some(backoff), ..Policy::default() });
     let (request, mut actions) = stage.arrive(ROUTED);
     for (attempt, pause) in [(0, 10.0), (1, 25.0)] {
         let to = sent_to(&actions).expect("it is sent");
@@ -132,7 +132,7 @@
 #[test]
 fn whoever_leaves_during_a_pause_is_not_sent_again() {
     let backoff = Backoff { first: Span(10.0), factor: 1.0, most: Span(10.0), jitter: Share(0.0) };
-    let mut stage = stage(Effect::Repeatable, Policy { backoff: Some(backoff), ..Policy::default() });
+    let mut stage = stage(Idempotency::Idempotent, Policy { backoff: Some(backoff), ..Policy::default() });
     let (request, actions) = stage.arrive(ROUTED);
     let to = sent_to(&actions).expect("it is sent");
     let (at, token) = wake(&stage.finish(request, 0, to, Outcome::Error, 1.0)).expect("a pause");
@@ -145,7 +145,7 @@
 fn a_class_spends_its_own_budget() {
     let own = Budget { share: Share(0.25), burst: 2 };
     let policy = Policy { retry_budget: Some(own), ..Policy::default() };
-    let mut stage = stage(Effect::Repeatable, policy);
+    let mut stage = stage(Idempotency::Idempotent, policy);
     let mut retries = 0;
     for _ in 0..40 {
         stage.now += 50.0;
@@ -164,7 +164,7 @@
 
 #[test]
 fn a_second_copy_goes_elsewhere_and_the_first_answer_ends_both() {
-    let mut stage = stage(Effect::Repeatable, copies(CopyAfter::Fixed(Span(30.0)), 5));
+    let mut stage = stage(Idempotency::Idempotent, copies(CopyAfter::Fixed(Span(30.0)), 5));
     let (request, actions) = stage.arrive(ROUTED);
     let first = sent_to(&actions).expect("it is sent");
     let (at, token) = wake(&actions).expect("a copy is planned");
@@ -183,7 +183,7 @@
 
 #[test]
 fn the_loser_of_two_copies_is_cancelled() {
-    let mut stage = stage(Effect::Repeatable, copies(CopyAfter::Fixed(Span(30.0)), 5));
+    let mut stage = stage(Idempotency::Idempotent, copies(CopyAfter::Fixed(Span(30.0)), 5));
     let (request, actions) = stage.arrive(ROUTED);
     let (at, token) = wake(&actions).expect("a copy is planned");
     stage.now = at;
@@ -194,7 +194,7 @@
 
 #[test]
 fn copies_have_a_budget() {
-    let mut stage = stage(Effect::Repeatable, copies(CopyAfter::Fixed(Span(30.0)), 2));
+    let mut stage = stage(Idempotency::Idempotent, copies(CopyAfter::Fixed(Span(30.0)), 2));
     let mut copied = 0;
     for _ in 0..20 {
         let (request, actions) = stage.arrive(ROUTED);
@@ -213,7 +213,7 @@
 
 #[test]
 fn a_percentile_is_learnt_from_answers() {
-    let mut stage = stage(Effect::Repeatable, copies(CopyAfter::Percentile(90.0), 5));
+    let mut stage = stage(Idempotency::Idempotent, copies(CopyAfter::Percentile(90.0), 5));
     let mut after = 0.0;
     // Nine of ten answers take 20 to 29 ms, the tenth 100.
     for n in 0..4_000 {
@@ -232,7 +232,7 @@
     let mut settings = settings();
     settings
         .classes
-        .push(Class { policy: copies(CopyAfter::Fixed(Span(30.0)), 5), ..class(Effect::Repeatable) });
+        .push(Class { policy: copies(CopyAfter::Fixed(Span(30.0)), 5), ..class(Idempotency::Idempotent) });
     let mut stage = Stage::new(settings, servers());
     let (_, actions) = stage.arrive(ROUTED);
     assert_eq!(wake(&actions), None);
@@ -241,14 +241,14 @@
 /// The policy that the sixth class has from now on, in a place of its own, as the sidecar lays it.
 fn reroute(stage: &mut Stage, policy: Policy) -> ClassId {
     let id = ClassId(stage.balancer.classes().len());
-    stage.balancer.put_class(id, Class { policy, ..class(Effect::Repeatable) }, ROUTED);
+    stage.balancer.put_class(id, Class { policy, ..class(Idempotency::Idempotent) }, ROUTED);
     id
 }
 
 #[test]
 fn a_request_ends_by_the_policy_it_began_with() {
     let attempts = |attempts| Policy { attempts: Some(attempts), ..Policy::default() };
-    let mut stage = stage(Effect::Repeatable, attempts(3));
+    let mut stage = stage(Idempotency::Idempotent, attempts(3));
     let (request, actions) = stage.arrive(ROUTED);
     let to = sent_to(&actions).expect("it is sent");
     assert!(stage.balancer.uses(ROUTED));
@@ -273,7 +273,7 @@
         retry_budget: Some(Budget { share: Share(0.01), burst }),
         ..Policy::default()
     };
-    let mut stage = stage(Effect::Repeatable, policy(3, 2));
+    let mut stage = stage(Idempotency::Idempotent, policy(3, 2));
     assert_eq!([0; 2].map(|_| sends(&mut stage, &[Outcome::Full])), [2, 2]);
     stage.now += 10_000.0;
     let other = reroute(&mut stage, policy(5, 3));
@@ -290,7 +290,7 @@
 /// A server that hangs has nothing out once its sends are cancelled, and must not look idle for it.
 #[test]
 fn a_cancelled_send_tells_that_its_server_is_slow() {
-    let mut stage = stage(Effect::Repeatable, copies(CopyAfter::Fixed(Span(40.0)), 50));
+    let mut stage = stage(Idempotency::Idempotent, copies(CopyAfter::Fixed(Span(40.0)), 50));
     let hangs = UpstreamId(1);
     let mut drawn = 0;
     for _ in 0..600 {
@@ -314,7 +314,7 @@
             upstream: hangs,
             outcome: Outcome::Cancelled,
             latency: 50.0,
-            closed: true,
+            request_closed: true,
             report: None,
         };
         stage.event(Event::Finished(cancelled));
--- a/crates/sagemast/tests/rules.rs
+++ b/crates/sagemast/tests/rules.rs
@@ -98,7 +98,7 @@
 fn a_keyed_request_is_not_resent_after_its_window() {
     // The window counts from the first send that may have run, not from the latest.
     let mut settings = settings();
-    settings.classes[BY_CELL.0].aim = 5_000.0;
+    settings.classes[BY_CELL.0].latency_objective = 5_000.0;
     let mut stage = Stage::new(settings, cells());
     stage.event(arrival(9_000, BY_CELL, 5_000.0));
     (0..2).for_each(|_| drop(stage.event(Event::Woke(9_000 >> 1))));
@@ -123,7 +123,7 @@
 }
 
 fn arrival(id: u64, class: ClassId, time_left: Millis) -> Event {
-    Event::Arrived { request: RequestId(id), class, tenant: TenantId(0), time_left, repeat: false }
+    Event::Arrived { request: RequestId(id), class, tenant: TenantId(0), time_left, is_retry: false }
 }
 
 #[test]
@@ -143,8 +143,8 @@
 #[test]
 fn draining_and_missing_servers_get_nothing_new() {
     let mut stage = Stage::new(settings(), vec![listing(1), listing(2), listing(3)]);
-    let drain = Listing { lifecycle: Lifecycle::Leaving, ..listing(1) };
-    stage.event(Event::Listed(ListNews::Changed(vec![drain])));
+    let drain = Listing { lifecycle: Lifecycle::Draining, ..listing(1) };
+    stage.event(Event::Listed(ListUpdate::Changed(vec![drain])));
     for _ in 0..30 {
         let (request, actions) = stage.arrive(REPEATABLE);
         let to = sent_to(&actions).unwrap();
@@ -152,7 +152,7 @@
         stage.now += 5.0;
         stage.finish(request, 0, to, Outcome::Ok, 5.0);
     }
-    stage.event(Event::Listed(ListNews::Complete(vec![listing(3)])));
+    stage.event(Event::Listed(ListUpdate::Complete(vec![listing(3)])));
     for _ in 0..30 {
         let (request, actions) = stage.arrive(REPEATABLE);
         assert_eq!(sent_to(&actions), Some(UpstreamId(3)), "2 is missing from the complete list");
@@ -170,12 +170,12 @@
     for (sidecars, cold_from) in [(5, 10), (200, 10), (1_000, 10), (200, 1)] {
         let mut settings = settings();
         settings.sidecars = sidecars;
-        settings.limits.probes = false;
+        settings.limits.load_polls = false;
         let start = 1_000.0;
         let servers: Vec<Listing> = (1..=SERVERS)
             .map(|id| Listing { started: (id >= cold_from).then_some(start), ..listing(id) })
             .collect();
-        let (fall, multiple) = (settings.safety.fall, settings.safety.fall_multiple);
+        let (fall, multiple) = (settings.slow_start.overload_window, settings.slow_start.overload_multiple);
         // Each server does one request at a time; together the sidecars ask for nine tenths of what all can do.
         let (span, per_ms) = (3.0 * fall, 0.9 * SERVERS as f64 / WORK);
         let mut sends: Vec<(UpstreamId, Millis)> = Vec::new();
@@ -199,7 +199,7 @@
             assert!(cold_from > 1 || !at.is_empty(), "{sidecars} sidecars: server {id} never gets any work");
             for from in &at {
                 let sent = at.iter().filter(|t| (*from..from + fall).contains(*t)).count() as f64 * WORK;
-                let warmth = 0.2 + 0.8 * (from - start) / settings.safety.warm_up;
+                let warmth = 0.2 + 0.8 * (from - start) / settings.slow_start.warm_up;
                 assert!(
                     sent <= multiple * warmth * fall,
                     "{sidecars} sidecars: {sent} ms of work in a window"
@@ -217,13 +217,13 @@
     const SERVERS: u64 = 10;
     const WORK: Millis = 30.0;
     const SIDECARS: u32 = 50;
-    let settings = Settings { sidecars: SIDECARS, sizes_listed: true, ..settings() };
+    let settings = Settings { sidecars: SIDECARS, weights_are_capacities: true, ..settings() };
     let start = 100_000.0;
     let cold = |id: u64| id > 4;
     let (new, old): (Vec<Listing>, Vec<Listing>) = (1..=SERVERS)
         .map(|id| Listing { started: cold(id).then_some(start), ..listing(id) })
         .partition(|server| server.started.is_some());
-    let (fall, multiple) = (settings.safety.fall, settings.safety.fall_multiple);
+    let (fall, multiple) = (settings.slow_start.overload_window, settings.slow_start.overload_multiple);
     let (span, per_ms) = (4.0 * fall, 3.0 * SERVERS as f64 / WORK);
     let mut sends: Vec<(UpstreamId, Millis)> = Vec::new();
     for sidecar in 0..SIDECARS {
@@ -235,7 +235,7 @@
             stage.report(1 + (round % 4) as u64, 5.0, 1.0);
             stage.arrive(ONCE);
         }
-        stage.event(Event::Listed(ListNews::Changed(new.clone())));
+        stage.event(Event::Listed(ListUpdate::Changed(new.clone())));
         stage.now = start + gap * f64::from(sidecar) / f64::from(SIDECARS);
         let mut number = 0;
         while stage.now < start + span {
@@ -254,7 +254,7 @@
     }
     for id in (1..=SERVERS).filter(|id| cold(*id)) {
         let at: Vec<Millis> = sends.iter().filter(|s| s.0.0 == id).map(|s| s.1).collect();
-        let capacity = |from: Millis| (0.2 + 0.8 * (from - start) / settings.safety.warm_up) * fall;
+        let capacity = |from: Millis| (0.2 + 0.8 * (from - start) / settings.slow_start.warm_up) * fall;
         for from in &at {
             let sent = at.iter().filter(|t| (*from..from + fall).contains(*t)).count() as f64 * WORK;
             assert!(sent <= multiple * capacity(*from), "server {id}: {sent} ms of work in a window");
@@ -270,8 +270,8 @@
 #[test]
 fn a_cold_server_that_was_not_heard_of_is_sent_its_share() {
     const SIDECARS: u32 = 100;
-    let mut settings = Settings { sidecars: SIDECARS, sizes_listed: true, ..settings() };
-    settings.classes.iter_mut().for_each(|class| class.aim = 450.0);
+    let mut settings = Settings { sidecars: SIDECARS, weights_are_capacities: true, ..settings() };
+    settings.classes.iter_mut().for_each(|class| class.latency_objective = 450.0);
     let start = 100_000.0;
     let sized = |id: u64| Listing { weight: 3.0, ..listing(id) };
     let old: Vec<Listing> = (1..=4).map(sized).collect();
@@ -283,7 +283,7 @@
         // Warm servers have all cores in use and a request waiting; nothing is ever heard of the cold ones.
         stage.settle(&[1, 2, 3, 4], 4.0, 0.95);
         stage.now = start + 5_000.0;
-        stage.event(Event::Listed(ListNews::Changed(new.clone())));
+        stage.event(Event::Listed(ListUpdate::Changed(new.clone())));
         for _ in 0..10 {
             let (request, actions) = stage.arrive(ONCE);
             if let Some(to) = sent_to(&actions) {
@@ -310,7 +310,7 @@
     };
     assert_eq!(accepted(&mut stage), 50, "it is warm");
     let again = Listing { started: Some(stage.now), ..listing(1) };
-    stage.event(Event::Listed(ListNews::Changed(vec![again])));
+    stage.event(Event::Listed(ListUpdate::Changed(vec![again])));
     let cold = accepted(&mut stage);
     assert!((1..25).contains(&cold), "{cold} of 50 once it is cold again");
 }
@@ -321,7 +321,7 @@
 fn what_a_cold_pair_may_not_take_goes_to_a_warm_server() {
     let mut stage = Stage::new(settings(), (1..=3).map(listing).collect());
     let again = [1, 2].map(|id| Listing { started: Some(stage.now), ..listing(id) });
-    stage.event(Event::Listed(ListNews::Changed(again.to_vec())));
+    stage.event(Event::Listed(ListUpdate::Changed(again.to_vec())));
     let mut to_cold = 0;
     for _ in 0..60 {
         stage.now += 50.0;
@@ -337,12 +337,13 @@
 /// a request refused beside an idle warm server in another zone.
 #[test]
 fn a_pair_drawn_in_vain_for_a_cold_server_is_not_the_last() {
-    let mut settings = Settings { sidecars: 300, crossing_fee: 0.02, sizes_listed: true, ..settings() };
-    settings.safety.warm_up = 100_000.0;
+    let mut settings =
+        Settings { sidecars: 300, cross_zone_cost: 0.02, weights_are_capacities: true, ..settings() };
+    settings.slow_start.warm_up = 100_000.0;
     let mut stage = Stage::new(settings, vec![listing(1)]);
     let far = |id| Listing { zone: ZoneId(1), ..listing(id) };
     let cold = |id| Listing { started: Some(stage.now), ..far(id) };
-    stage.event(Event::Listed(ListNews::Changed(vec![cold(2), cold(3), far(4)])));
+    stage.event(Event::Listed(ListUpdate::Changed(vec![cold(2), cold(3), far(4)])));
     for _ in 0..100 {
         stage.now += 20.0;
         for (id, held) in [(1, 6.0), (2, 0.0), (3, 0.0), (4, 0.0)] {
--- a/crates/sagemast/tests/scale.rs
+++ b/crates/sagemast/tests/scale.rs
@@ -19,7 +19,7 @@
 /// Guards against draws among those that do not serve: three of ten thousand must be found each time.
 #[test]
 fn three_ready_of_ten_thousand_take_all() {
-    let leaving = |id: u64| if id % 3_000 == 1_234 { Lifecycle::Serving } else { Lifecycle::Leaving };
+    let leaving = |id: u64| if id % 3_000 == 1_234 { Lifecycle::Serving } else { Lifecycle::Draining };
     let list = (0..10_000).map(|id| Listing { lifecycle: leaving(id), ..listing(id) }).collect();
     let mut stage = Stage::new(settings(), list);
     let used: BTreeSet<u64> = (0..300).map(|_| served(&mut stage).expect("there is room").0).collect();
@@ -32,7 +32,7 @@
 fn a_list_replaced_whole_leaves_nothing_of_the_old_one() {
     let mut stage = Stage::new(settings(), (0..50).map(listing).collect());
     let held: Vec<_> = (0..20).map(|_| stage.arrive(REPEATABLE)).collect();
-    stage.event(Event::Listed(ListNews::Complete((100..150).map(listing).collect())));
+    stage.event(Event::Listed(ListUpdate::Complete((100..150).map(listing).collect())));
     for _ in 0..200 {
         assert!(served(&mut stage).expect("there is room").0 >= 100);
     }
@@ -53,8 +53,8 @@
         stage.now += 10.0;
         let id = (round * 7) % 23;
         let joins = serving.len() < 5 || (!serving.contains(&id) && serving.len() < 15);
-        let lifecycle = if joins { Lifecycle::Serving } else { Lifecycle::Leaving };
-        stage.event(Event::Listed(ListNews::Changed(vec![Listing { lifecycle, ..listing(id) }])));
+        let lifecycle = if joins { Lifecycle::Serving } else { Lifecycle::Draining };
+        stage.event(Event::Listed(ListUpdate::Changed(vec![Listing { lifecycle, ..listing(id) }])));
         if joins {
             serving.insert(id)
         } else {
@@ -124,12 +124,12 @@
 fn probes_are_held_to_what_arrivals_pay_for_them() {
     let asked_with = |fee: f64, repeats: u32| {
         let servers: Vec<_> = (0..200).map(listing).collect();
-        let mut stage = Stage::new(Settings { probe_fee: fee, ..settings() }, servers);
+        let mut stage = Stage::new(Settings { load_poll_cost: fee, ..settings() }, servers);
         let mut probes = 0;
         for number in 0..400 * (1 + repeats) {
             stage.now += 20.0 / f64::from(1 + repeats);
             let (request, actions) = stage.arrive_again(ONCE, number % (1 + repeats) > 0);
-            probes += actions.iter().filter(|action| matches!(action, Action::Probe(_))).count();
+            probes += actions.iter().filter(|action| matches!(action, Action::PollLoad(_))).count();
             if let Some(to) = sent_to(&actions) {
                 stage.finish(request, 0, to, Outcome::Ok, 20.0);
             }
@@ -149,7 +149,8 @@
 #[test]
 fn a_jam_is_over_soon_after_rare_reports_tell_so() {
     let servers = (0..200).map(|id| Listing { weight: 3.0, ..listing(id) }).collect();
-    let mut stage = Stage::new(Settings { sidecars: 300, sizes_listed: true, ..settings() }, servers);
+    let mut stage =
+        Stage::new(Settings { sidecars: 300, weights_are_capacities: true, ..settings() }, servers);
     let refusals = |stage: &mut Stage, in_flight: f64, reports: u64| {
         for id in 0..reports {
             stage.now += 1_000.0;
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -9,7 +9,7 @@
 use listclock::{Clock, Command, ListEvent, Rules, Start};
 use sagemast::Balancer;
 use sagemast::api::*;
-use sagemast::settings::{Column, report};
+use sagemast::settings::{Column, report_from_columns};
 use wire::*;
 
 /// The bit of an arrival that marks a client's repeat.
@@ -101,7 +101,7 @@
                     balancer: Balancer::new(config.settings(), salt),
                     columns: config.columns(),
                     salt,
-                    must_ask_in: config.must_ask_in(),
+                    must_ask_in: config.discovery_poll_interval(),
                     clock: None,
                     alarm: None,
                 };
@@ -150,9 +150,9 @@
                 Ok(rows.iter().map(Listing::from).collect())
             };
             Event::Listed(match mode {
-                SyncMode::Update => ListNews::Changed(rows()?),
-                SyncMode::Replace => ListNews::Complete(rows()?),
-                SyncMode::Restored => ListNews::Restored(rows()?),
+                SyncMode::Update => ListUpdate::Changed(rows()?),
+                SyncMode::Replace => ListUpdate::Complete(rows()?),
+                SyncMode::Restored => ListUpdate::Restored(rows()?),
                 SyncMode::Unavailable => return Ok(None),
             })
         }
@@ -161,12 +161,12 @@
             class: ClassId(category),
             tenant: TenantId(owner),
             time_left,
-            repeat: state_bits & REPEAT != 0,
+            is_retry: state_bits & REPEAT != 0,
         },
-        WireEvent::Pong { upstream, disposition, server_stats } => Event::Probed {
+        WireEvent::Pong { upstream, disposition, server_stats } => Event::LoadPolled {
             upstream: UpstreamId(upstream),
             answered: Outcome::from(disposition) == Outcome::Ok,
-            report: server_stats.map(|stats| report(columns, &stats)),
+            report: server_stats.map(|stats| report_from_columns(columns, &stats)),
         },
         WireEvent::Ring { token } => Event::Woke(token),
         WireEvent::Lapsed { xid } => Event::Abandoned(RequestId(xid.0)),
@@ -177,8 +177,8 @@
                 upstream: UpstreamId(upstream),
                 outcome: disposition.into(),
                 latency,
-                closed: ended,
-                report: server_stats.map(|stats| report(columns, &stats)),
+                request_closed: ended,
+                report: server_stats.map(|stats| report_from_columns(columns, &stats)),
             })
         }
         WireEvent::Heard {} | WireEvent::UnderWay {} => return Ok(None),
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -1,7 +1,7 @@
 //! The simulator's wire: JSON lines, read into types and turned into the module's own terms.
 
 use sagemast::api::*;
-use sagemast::settings::Config;
+use sagemast::settings::PlatformSettings;
 use serde::{Deserialize, Serialize};
 
 #[derive(Deserialize)]
@@ -22,7 +22,7 @@
 pub enum WireEvent {
     Hello {
         salt: u64,
-        config: Box<Config>,
+        config: Box<PlatformSettings>,
     },
     DefineList {
         list: u64,
@@ -162,7 +162,7 @@
             kind: KindId(row.shape),
             lifecycle: match row.lifecycle {
                 WireLifecycle::InService => Lifecycle::Serving,
-                WireLifecycle::Terminating | WireLifecycle::Terminated => Lifecycle::Leaving,
+                WireLifecycle::Terminating | WireLifecycle::Terminated => Lifecycle::Draining,
             },
             weight: row.capacity_hint,
             started: (row.launched > 0.0).then_some(row.launched),
@@ -230,7 +230,7 @@
                 WireAction::PushBack { xid: Hex(request.0), come_back: retry_after }
             }
             Action::Fail(request) => WireAction::Fail { xid: Hex(request.0) },
-            Action::Probe(upstream) => WireAction::AskLoad { upstream: upstream.0 },
+            Action::PollLoad(upstream) => WireAction::AskLoad { upstream: upstream.0 },
             Action::WakeAt { at, token } => WireAction::SetAlarm { time: at, token },
             Action::Log { text, .. } => WireAction::NoteDown { text },
         }
--- a/crates/world/src/checks/repeats.rs
+++ b/crates/world/src/checks/repeats.rs
@@ -1,6 +1,6 @@
 use std::collections::HashMap;
 
-use sagemast::api::{Effect, Scope};
+use sagemast::api::{DedupScope, Idempotency};
 
 use super::{Found, Rule};
 use crate::server::SendKey;
@@ -45,20 +45,20 @@
         &mut self,
         at: Micros,
         (ask, key): (usize, SendKey),
-        effect: Effect,
+        effect: Idempotency,
         place: Place,
         found: &mut Found,
     ) {
         let before = self.sent.entry(ask).or_default();
         if let Some(first) = before.iter().find(|sent| !sent.never_ran) {
             let same = match effect {
-                Effect::Repeatable => true,
-                Effect::Once => false,
-                Effect::ByKey { scope, window } => {
+                Idempotency::Idempotent => true,
+                Idempotency::NotIdempotent => false,
+                Idempotency::ByKey { scope, window } => {
                     let inside = match scope {
-                        Scope::All => true,
-                        Scope::Zone => first.place.zone == place.zone,
-                        Scope::Cell => first.place.cell == place.cell,
+                        DedupScope::All => true,
+                        DedupScope::Zone => first.place.zone == place.zone,
+                        DedupScope::Cell => first.place.cell == place.cell,
                     };
                     inside && at < first.at + micros(window * (1.0 + self.drift))
                 }
--- a/crates/world/src/clients.rs
+++ b/crates/world/src/clients.rs
@@ -114,7 +114,7 @@
                 class: ClassId(class),
                 tenant: TenantId(0),
                 time_left: millis(deadline.saturating_sub(self.now)),
-                repeat: tries > 1,
+                is_retry: tries > 1,
             },
         );
     }
@@ -138,8 +138,8 @@
         }
         match answer {
             Answer::Served if this.counts => {
-                let good = self.now <= came + micros(spec.aim);
-                let earned = spec.worth * if good { 1.0 } else { spec.late_worth };
+                let good = self.now <= came + micros(spec.latency_objective);
+                let earned = spec.priority_weight * if good { 1.0 } else { spec.late_weight };
                 let part = self.tally.at(this.first);
                 part.served += 1;
                 part.good += u32::from(good);
--- a/crates/world/src/company.rs
+++ b/crates/world/src/company.rs
@@ -49,7 +49,11 @@
         me: MemberId(me as u16),
         members: (0..spec.members).map(member).collect(),
         regions: spec.regions.iter().map(|region| region.name.clone()).collect(),
-        classes: spec.classes.iter().map(|c| ClassWorth { worth: c.class.worth, by_work: false }).collect(),
+        classes: spec
+            .classes
+            .iter()
+            .map(|c| ClassWorth { worth: c.class.priority_weight, by_work: false })
+            .collect(),
         class_floor: spec.class_floor,
         budgets: Budgets { retries: spec.retries, copies: 0.0 },
         timing: Timing::default(),
@@ -205,12 +209,12 @@
         let listed = Listed { standing: entry.standing, zone, started, version };
         self.company(member, Input::Applied(vec![(UpstreamId(server as u64), entry)]));
         let listings = self.take_in(member, &[(server, listed)]);
-        self.module(member, Event::Listed(ListNews::Changed(listings)));
+        self.module(member, Event::Listed(ListUpdate::Changed(listings)));
     }
 
     /// Looks at what a sidecar may send to cold servers.
     fn sees_leases(&mut self, member: usize, guidance: &Guidance) {
-        for (upstream, lease) in guidance.cold.iter().flatten() {
+        for (upstream, lease) in guidance.slow_start_leases.iter().flatten() {
             let server = upstream.0 as usize;
             let until: Micros = self.members[member].clock.truth(lease.until);
             let warmth = self.servers[server].warmth(self.now, &self.spec.safety);
--- a/crates/world/src/figures.rs
+++ b/crates/world/src/figures.rs
@@ -56,14 +56,14 @@
 fn ideal(spec: &Spec, parts: &[crate::tally::Part]) -> f64 {
     let mut left: f64 = parts.iter().map(|part| part.ability).sum();
     let mut classes: Vec<usize> = (0..spec.classes.len()).collect();
-    let density = |class: &usize| spec.classes[*class].class.worth / spec.classes[*class].work;
+    let density = |class: &usize| spec.classes[*class].class.priority_weight / spec.classes[*class].work;
     classes.sort_by(|one, other| density(other).total_cmp(&density(one)));
     let mut earned = 0.0;
     for class in classes {
         let work: f64 = parts.iter().map(|part| part.offered[class].0).sum();
         let count: u32 = parts.iter().map(|part| part.offered[class].1).sum();
         let fits = if work > 0.0 { (left / work).min(1.0) } else { 1.0 };
-        earned += fits * f64::from(count) * spec.classes[class].class.worth;
+        earned += fits * f64::from(count) * spec.classes[class].class.priority_weight;
         left -= fits * work;
     }
     earned
--- a/crates/world/src/member.rs
+++ b/crates/world/src/member.rs
@@ -28,7 +28,7 @@
         /// How.
         outcome: Outcome,
         /// The report that came with it.
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     /// A send's time is up.
     TimeUp(SendKey),
@@ -37,7 +37,7 @@
         /// Who was asked.
         server: usize,
         /// What it said.
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     /// A timer of the module.
     Woke(u64),
--- a/crates/world/src/roster.rs
+++ b/crates/world/src/roster.rs
@@ -28,7 +28,7 @@
             self.members[member].list.iter().map(|(n, e)| (*n, e.clone())).collect();
         self.remembered(member, &list);
         let listings = self.take_in(member, &list);
-        self.module(member, sagemast::api::Event::Listed(ListNews::Restored(listings)));
+        self.module(member, sagemast::api::Event::Listed(ListUpdate::Restored(listings)));
     }
 
     /// Sets the timer for what the clock of a list has due.
@@ -119,7 +119,7 @@
         if heard == ListEvent::List {
             self.listed(member, opening, &list);
             let listings = self.take_in(member, &list);
-            let news = if opening { ListNews::Complete(listings) } else { ListNews::Changed(listings) };
+            let news = if opening { ListUpdate::Complete(listings) } else { ListUpdate::Changed(listings) };
             self.module(member, sagemast::api::Event::Listed(news));
         }
     }
@@ -150,7 +150,7 @@
                 zone: ZoneId(entry.zone as u64),
                 cell: CellId(self.servers[*number].cell),
                 kind: KindId(0),
-                lifecycle: if serving { Lifecycle::Serving } else { Lifecycle::Leaving },
+                lifecycle: if serving { Lifecycle::Serving } else { Lifecycle::Draining },
                 weight: self.servers[*number].cores as f64,
                 started: (entry.started > 0).then(|| this.clock.at(entry.started)),
             });
--- a/crates/world/src/rules.rs
+++ b/crates/world/src/rules.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use residency::{ClassFacts, Context, Regions, Rule, Rules, Scope, Section, Unruled};
-use sagemast::api::Effect;
+use sagemast::api::Idempotency;
 
 use crate::checks::Allowed;
 use crate::member::Told;
@@ -50,11 +50,11 @@
 }
 
 fn context(spec: &Spec) -> Context {
-    let scope = |class: &ClassSpec| match class.class.effect {
-        Effect::Repeatable | Effect::Once => Scope::Free,
-        Effect::ByKey { scope: sagemast::api::Scope::All, .. } => Scope::All,
-        Effect::ByKey { scope: sagemast::api::Scope::Zone, .. } => Scope::Zone,
-        Effect::ByKey { scope: sagemast::api::Scope::Cell, .. } => Scope::Cell,
+    let scope = |class: &ClassSpec| match class.class.idempotency {
+        Idempotency::Idempotent | Idempotency::NotIdempotent => Scope::Free,
+        Idempotency::ByKey { scope: sagemast::api::DedupScope::All, .. } => Scope::All,
+        Idempotency::ByKey { scope: sagemast::api::DedupScope::Zone, .. } => Scope::Zone,
+        Idempotency::ByKey { scope: sagemast::api::DedupScope::Cell, .. } => Scope::Cell,
     };
     Context {
         classes: spec.classes.iter().map(|c| ClassFacts { name: c.name.clone(), scope: scope(c) }).collect(),
--- a/crates/world/src/sabotage.rs
+++ b/crates/world/src/sabotage.rs
@@ -88,7 +88,7 @@
         let again = match self.sabotage {
             Some(Sabotage::Floods) => key.1 < 2,
             Some(Sabotage::RunsTwice) => {
-                key.1 == 0 && class.is_some_and(|class| class.effect == Effect::Once)
+                key.1 == 0 && class.is_some_and(|class| class.idempotency == Idempotency::NotIdempotent)
             }
             _ => false,
         };
--- a/crates/world/src/sends.rs
+++ b/crates/world/src/sends.rs
@@ -63,7 +63,13 @@
         let found = &mut self.checks.found;
         self.checks.lists.sent(self.now, member, server, found);
         self.checks.regions.sent(self.now, member, class, listed, found);
-        self.checks.repeats.sent(self.now, (ask, key), self.spec.classes[class].class.effect, place, found);
+        self.checks.repeats.sent(
+            self.now,
+            (ask, key),
+            self.spec.classes[class].class.idempotency,
+            place,
+            found,
+        );
         if key.1 == 0 {
             self.tally.at(self.now).sends += 1;
         } else {
@@ -125,7 +131,7 @@
     }
 
     /// An end of a send is on its way back.
-    pub(crate) fn answers(&mut self, key: SendKey, outcome: Outcome, report: Option<Report>) {
+    pub(crate) fn answers(&mut self, key: SendKey, outcome: Outcome, report: Option<LoadReport>) {
         let Some(Sending { member, server, .. }) = self.sends.get(&key).copied() else { return };
         let zone = self.servers[server].zone;
         if self.links.reaches(member, zone) {
@@ -149,7 +155,13 @@
     }
 
     /// A sidecar reads how a send ended.
-    pub(crate) fn ended(&mut self, member: usize, key: SendKey, outcome: Outcome, report: Option<Report>) {
+    pub(crate) fn ended(
+        &mut self,
+        member: usize,
+        key: SendKey,
+        outcome: Outcome,
+        report: Option<LoadReport>,
+    ) {
         let Some(sending) = self.sends.remove(&key) else { return };
         let mut closed = !self.members[member].open.contains_key(&key.0);
         if outcome == Outcome::Ok && !closed {
@@ -165,7 +177,7 @@
                 upstream: UpstreamId(sending.meant as u64),
                 outcome,
                 latency,
-                closed,
+                request_closed: closed,
                 report,
             }),
         );
