--- a/crates/world/src/server.rs
+++ b/crates/world/src/server.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use sagemast::api::{Report, Safety};
+use sagemast::api::{LoadReport, SlowStartRules};
 
 use crate::time::{Micros, micros, millis};
 
@@ -100,24 +100,24 @@
     }
 
     /// The share of its capacity that it has: a line from the cold share to all of it.
-    pub fn warmth(&self, now: Micros, safety: &Safety) -> f64 {
+    pub fn warmth(&self, now: Micros, safety: &SlowStartRules) -> f64 {
         let Some(started) = self.started else { return 1.0 };
         let age = millis(now.saturating_sub(started)) / safety.warm_up;
-        (safety.cold_share + (1.0 - safety.cold_share) * age).min(1.0)
+        (safety.initial_share + (1.0 - safety.initial_share) * age).min(1.0)
     }
 
     /// Milliseconds of work that it can do in a millisecond now.
-    pub fn ability(&self, now: Micros, safety: &Safety) -> f64 {
+    pub fn ability(&self, now: Micros, safety: &SlowStartRules) -> f64 {
         let able = self.life == Life::Up && !self.hung;
         if able { self.cores as f64 * self.warmth(now, safety) / self.pace } else { 0.0 }
     }
 
     /// Counts a request that a cold server is sent; how many there were in the time in which it would fall, and the
     /// share of its capacity that it had at the beginning of that time. `None` for a warm one.
-    pub fn count_cold(&mut self, now: Micros, safety: &Safety) -> Option<(usize, f64)> {
+    pub fn count_cold(&mut self, now: Micros, safety: &SlowStartRules) -> Option<(usize, f64)> {
         let started = self.started.filter(|at| now < at + micros(safety.warm_up))?;
         self.came.push_back(now);
-        let from = now.saturating_sub(micros(safety.fall));
+        let from = now.saturating_sub(micros(safety.overload_window));
         while self.came.front().is_some_and(|at| *at < from) {
             self.came.pop_front();
         }
@@ -125,7 +125,7 @@
     }
 
     /// A request comes in.
-    pub fn take(&mut self, now: Micros, key: SendKey, work: f64, safety: &Safety) -> Taken {
+    pub fn take(&mut self, now: Micros, key: SendKey, work: f64, safety: &SlowStartRules) -> Taken {
         self.count(now);
         let job = Job { key, work };
         match self.life {
@@ -141,7 +141,7 @@
     }
 
     /// A core is done with a request, if that was not lost or held meanwhile: the next one that begins, and its end.
-    pub fn done(&mut self, now: Micros, key: SendKey, safety: &Safety) -> Option<(SendKey, Micros)> {
+    pub fn done(&mut self, now: Micros, key: SendKey, safety: &SlowStartRules) -> Option<(SendKey, Micros)> {
         self.count(now);
         self.running.retain(|job| job.key != key);
         self.served_per_s += 1.0;
@@ -157,17 +157,17 @@
         self.queue.len() < before
     }
 
-    fn begin(&mut self, now: Micros, job: Job, safety: &Safety) -> Micros {
+    fn begin(&mut self, now: Micros, job: Job, safety: &SlowStartRules) -> Micros {
         self.running.push(job);
         if self.hung { Micros::MAX } else { self.end(now, job, safety) }
     }
 
-    fn end(&self, now: Micros, job: Job, safety: &Safety) -> Micros {
+    fn end(&self, now: Micros, job: Job, safety: &SlowStartRules) -> Micros {
         now + micros(job.work * self.pace / self.warmth(now, safety)).max(1)
     }
 
     /// Hangs, or goes on with all it has: when each of its requests is done.
-    pub fn hang(&mut self, now: Micros, hung: bool, safety: &Safety) -> Vec<(SendKey, Micros)> {
+    pub fn hang(&mut self, now: Micros, hung: bool, safety: &SlowStartRules) -> Vec<(SendKey, Micros)> {
         self.count(now);
         self.hung = hung;
         self.turn += 1;
@@ -200,9 +200,9 @@
     }
 
     /// What it tells of its load.
-    pub fn report(&mut self, now: Micros) -> Report {
+    pub fn report(&mut self, now: Micros) -> LoadReport {
         self.count(now);
-        Report {
+        LoadReport {
             in_flight: Some(self.holds() as f64),
             utilisation: Some(self.utilisation),
             served_per_s: Some(self.served_per_s / MEANS_OVER * 1e3),
--- a/crates/world/src/spec.rs
+++ b/crates/world/src/spec.rs
@@ -114,7 +114,7 @@
     /// By what share the speeds of clocks differ at most.
     pub drift: f64,
     /// The module's rule figures.
-    pub safety: Safety,
+    pub safety: SlowStartRules,
     /// The fleet's retries as a share of first tries; alone, each sidecar's.
     pub retries: f64,
     /// The share of a class that is let in however much is shed.
@@ -130,16 +130,22 @@
     work: f64,
     worth: f64,
     [aim, deadline]: [f64; 2],
-    effect: Effect,
+    effect: Idempotency,
 ) -> ClassSpec {
-    let class = Class { aim, worth, late_worth: 0.2, effect, policy: Default::default() };
+    let class = Class {
+        latency_objective: aim,
+        priority_weight: worth,
+        late_weight: 0.2,
+        idempotency: effect,
+        policy: Default::default(),
+    };
     ClassSpec { name: name.to_owned(), share, work, spread: 0.6, deadline, class }
 }
 
 impl Default for Spec {
     /// Twelve sidecars and six servers in two zones of one region, in a calm hour.
     fn default() -> Spec {
-        let keyed = Effect::ByKey { scope: Scope::Cell, window: 2_000.0 };
+        let keyed = Idempotency::ByKey { scope: DedupScope::Cell, window: 2_000.0 };
         Spec {
             seed: 1,
             mode: Mode::Alone,
@@ -150,17 +156,22 @@
             waiting: 24,
             cell: 3,
             classes: vec![
-                class("quote", 0.4, 40.0, 1.0, [300.0, 800.0], Effect::Repeatable),
+                class("quote", 0.4, 40.0, 1.0, [300.0, 800.0], Idempotency::Idempotent),
                 class("order", 0.2, 80.0, 8.0, [600.0, 1_500.0], keyed),
-                class("payment", 0.1, 100.0, 12.0, [700.0, 2_000.0], Effect::Once),
-                class("browse", 0.3, 60.0, 0.4, [400.0, 1_000.0], Effect::Repeatable),
+                class("payment", 0.1, 100.0, 12.0, [700.0, 2_000.0], Idempotency::NotIdempotent),
+                class("browse", 0.3, 60.0, 0.4, [400.0, 1_000.0], Idempotency::Idempotent),
             ],
             load: 0.6,
             clients: Clients { tries: 3, heed: 0.8, uneven: 0.3 },
             delays: Delays { near: 0.5, zones: 1.5, regions: 15.0, jitter: 0.5 },
             discovery: DiscoverySpec { late: 20.0, calls_per_s: 2_000, must_ask_in: 10_000.0 },
             drift: 0.005,
-            safety: Safety { cold_share: 0.2, warm_up: 10_000.0, fall_multiple: 2.5, fall: 2_000.0 },
+            safety: SlowStartRules {
+                initial_share: 0.2,
+                warm_up: 10_000.0,
+                overload_multiple: 2.5,
+                overload_window: 2_000.0,
+            },
             retries: 0.1,
             class_floor: 0.02,
             rules: Vec::new(),
@@ -205,7 +216,7 @@
     /// The mean number of requests that the settings allow for the same.
     pub fn cold_requests(&self, warmth: f64) -> f64 {
         let per_ms = self.cores as f64 / self.mean_work();
-        self.safety.fall_multiple * warmth * per_ms * self.safety.fall
+        self.safety.overload_multiple * warmth * per_ms * self.safety.overload_window
     }
 
     /// What the module of a sidecar in this zone is told.
@@ -213,27 +224,27 @@
         Settings {
             classes: self.classes.iter().map(|spec| spec.class.clone()).collect(),
             tenants: Vec::new(),
-            over_quota_worth: 1.0,
+            over_quota_weight: 1.0,
             zone: ZoneId(zone as u64),
             sidecars: self.members as u32,
-            crossing_fee: 0.01,
-            probe_fee: 0.05,
+            cross_zone_cost: 0.01,
+            load_poll_cost: 0.05,
             limits: Limits {
                 max_attempts: 3,
-                duplicates: true,
-                probes: true,
+                concurrent_attempts: true,
+                load_polls: true,
                 cancel: true,
                 max_retry_after: 1_000.0,
                 tick: 4.0,
             },
-            safety: self.safety.clone(),
-            sizes_listed: true,
-            worth_by_work: false,
+            slow_start: self.safety.clone(),
+            weights_are_capacities: true,
+            weight_per_work: false,
             retry_budget: Some(routes::policy::Budget {
                 share: routes::units::Share(self.retries),
                 burst: 10,
             }),
-            copy_budget: None,
+            hedge_budget: None,
         }
     }
 }
--- a/crates/world/src/world.rs
+++ b/crates/world/src/world.rs
@@ -369,7 +369,7 @@
             Told::TimeUp(key) => self.time_up(member, key),
             Told::Probed { server, report } => self.module(
                 member,
-                sagemast::api::Event::Probed {
+                sagemast::api::Event::LoadPolled {
                     upstream: UpstreamId(server as u64),
                     answered: report.is_some(),
                     report,
@@ -419,7 +419,7 @@
                 self.answer(member, request.0, crate::clients::Answer::Refused(retry_after, reason));
             }
             Action::Fail(request) => self.answer(member, request.0, crate::clients::Answer::Failed),
-            Action::Probe(server) => self.probe(member, server.0 as usize),
+            Action::PollLoad(server) => self.probe(member, server.0 as usize),
             Action::WakeAt { at, token } => {
                 let at = self.members[member].clock.truth(at).max(self.now);
                 self.tell_at(at, member, Told::Woke(token));
