--- a/crates/concert/src/company.rs
+++ b/crates/concert/src/company.rs
@@ -205,11 +205,12 @@
         // A process that was stopped does not make up for the periods that it missed.
         member.next = now + member.period;
         self.pending.push(Output::WakeAt(member.next));
-        let counted = member.counts.take(|class| module.service(class));
+        let counted = member.counts.take(|class| module.service_time(class));
         let servers: Vec<_> = module.servers(now).collect();
         let learnt = member.evidence.looked(&servers);
         // Before anything came, the mean of all classes.
-        let times = || module.classes().iter().enumerate().filter_map(|(id, _)| module.service(ClassId(id)));
+        let times =
+            || module.classes().iter().enumerate().filter_map(|(id, _)| module.service_time(ClassId(id)));
         let mean = || times().map(|(time, _)| time).sum::<f64>() / times().count().max(1) as f64;
         let work = member.counts.work().unwrap_or_else(mean);
         let known =
--- a/crates/concert/src/evidence.rs
+++ b/crates/concert/src/evidence.rs
@@ -117,7 +117,7 @@
 
     /// Looks at which servers there are and which of them are ejected: one that is no longer, and that no other member
     /// brought back, came back by trials here.
-    pub fn looked(&mut self, servers: &[sagemast::view::Known]) -> Vec<Learnt> {
+    pub fn looked(&mut self, servers: &[sagemast::view::ServerStatus]) -> Vec<Learnt> {
         let there: BTreeMap<UpstreamId, bool> = servers.iter().map(|s| (s.upstream, s.ejected)).collect();
         let back = self.ejected.iter().filter(|id| there.get(id) == Some(&false));
         let own = back.filter(|id| !self.brought_back.contains(id));
--- a/crates/concert/src/guidance.rs
+++ b/crates/concert/src/guidance.rs
@@ -2,8 +2,8 @@
 
 use peers::api as fleet;
 use sagemast::api::*;
-use sagemast::brain::COLD_MARGIN;
-use sagemast::view::Known;
+use sagemast::balancer::SLOW_START_LEASE_SHARE;
+use sagemast::view::ServerStatus;
 
 use crate::roster::Roster;
 
@@ -59,16 +59,22 @@
 
 /// A server as the fleet is told of it. All members may send a cold one `fall_multiple` times what it can do for `fall`
 /// milliseconds, that is so many requests of mean work: its size by how long one takes, by the share of its size that it
-/// surely has by now. [`COLD_MARGIN`] of that is given out, since sizes and times are estimates; of what sidecars that go by
+/// surely has by now. [`SLOW_START_LEASE_SHARE`] of that is given out, since sizes and times are estimates; of what sidecars that go by
 /// chance sent, counted, the fullest window had 0.9 of the bound (`docs/incidents/cold-servers-counted.md`).
 ///
 /// `work` is how long a mean server takes for the mean request, in milliseconds.
-pub(crate) fn known(server: &Known, key: fleet::ServerKey, work: Millis, safety: &Safety) -> fleet::Known {
+pub(crate) fn known(
+    server: &ServerStatus,
+    key: fleet::ServerKey,
+    work: Millis,
+    safety: &Safety,
+) -> fleet::Known {
     let requests =
-        COLD_MARGIN * safety.fall_multiple * server.warmth * server.size * safety.fall / work.max(1.0);
+        SLOW_START_LEASE_SHARE * safety.fall_multiple * server.warm_fraction * server.capacity * safety.fall
+            / work.max(1.0);
     fleet::Known {
         server: key,
-        started: server.started.map(|started| started.max(0.0) as u64),
+        started: server.started_at.map(|started| started.max(0.0) as u64),
         cold_requests: if requests.is_finite() { requests.max(0.0) } else { 0.0 },
         cold_window: safety.fall.max(1.0) as u64,
         ejected: server.ejected,
--- a/crates/node/src/engine/mod.rs
+++ b/crates/node/src/engine/mod.rs
@@ -436,12 +436,12 @@
     /// Goes over to other routes.
     fn reroute(&mut self, table: Table) {
         let module = &mut self.module;
-        let change = self.routing.change(table, module.classes(), |class| module.uses(class));
+        let change = self.routing.change(table, module.classes(), |class| module.is_class_in_use(class));
         let told = change.classes.len();
         for (id, class, known) in change.classes {
-            module.put_class(id, class, known);
+            module.set_class(id, class, known);
         }
-        module.put_budgets(change.retry_budget, change.copy_budget);
+        module.set_budgets(change.retry_budget, change.copy_budget);
         self.tell_company(concert::Input::Classes(self.routing.class_names()));
         info!("routes: {} in force, {told} classes of them new or changed", self.routing.count());
         let now = self.millis(Instant::now());
--- a/crates/node/src/routing.rs
+++ b/crates/node/src/routing.rs
@@ -188,7 +188,7 @@
         fn change(&mut self, routes: &[(&str, u32)], busy: &[usize]) {
             let table = table(&self.routing.platform, routes);
             let change = self.routing.change(table, self.module.classes(), |class| busy.contains(&class.0));
-            change.classes.into_iter().for_each(|(id, class, known)| self.module.put_class(id, class, known));
+            change.classes.into_iter().for_each(|(id, class, known)| self.module.set_class(id, class, known));
         }
 
         /// The module's class for a path, and its attempts.
--- a/crates/sagemast/src/api.rs
+++ b/crates/sagemast/src/api.rs
@@ -315,7 +315,7 @@
     #[serde(default)]
     pub trials: Option<BTreeSet<UpstreamId>>,
     /// What it may send cold servers, instead of going by chance; nothing to those that are not named.
-    #[serde(default, with = "crate::exact::pairs")]
+    #[serde(default, with = "crate::serde_helpers::map_as_pairs")]
     pub cold: Option<BTreeMap<UpstreamId, ColdLease>>,
     /// Where in the span that refused clients are asked to stay away theirs lie: from and to, as shares of it.
     #[serde(default)]
--- a/crates/sagemast/src/brain.rs
+++ b/crates/sagemast/src/balancer.rs
@@ -12,9 +12,9 @@
 use serde::{Deserialize, Serialize};
 
 use crate::api::*;
+use crate::cluster_guidance::ClusterGuidance;
 use crate::fleet::Fleet;
 use crate::groups::{From, Pool};
-use crate::guided::Guided;
 use crate::slow_start::SlowStart;
 use crate::state::*;
 
@@ -107,20 +107,20 @@
 /// First and longest time for which a server that turned a request away is left alone.
 const SHUT_FOR: [Millis; 2] = [100.0, 1_600.0];
 /// The share of a cold server's allowance that a fleet's leases give out: speeds and costs are estimates.
-pub const COLD_MARGIN: f64 = 0.5;
+pub const SLOW_START_LEASE_SHARE: f64 = 0.5;
 
 /// The decision module of one sidecar. The same seed, settings and events give the same actions.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Balancer {
     #[serde(skip)]
     pub(crate) settings: Settings,
-    #[serde(with = "crate::exact::rng")]
+    #[serde(with = "crate::serde_helpers::rng")]
     pub(crate) rng: Rand64,
     pub(crate) now: Millis,
-    pub(crate) requests: BTreeMap<RequestId, Held>,
-    pub(crate) fleet: Fleet,
-    pub(crate) seen: Learnt,
-    pub(crate) guided: Guided,
+    pub(crate) requests: BTreeMap<RequestId, PendingRequest>,
+    pub(crate) endpoints: Fleet,
+    pub(crate) estimates: Estimates,
+    pub(crate) guidance: ClusterGuidance,
     pub(crate) slow_start: SlowStart,
 }
 
@@ -128,17 +128,18 @@
     /// A module that knows nothing yet but its settings.
     pub fn new(settings: Settings, seed: u64) -> Balancer {
         // Until answers tell, a service time that leaves room for a queue and another try.
-        let service = |class: &Class| Service::new(class.aim * SERVICE_PRIOR, Purse::full(class.budgets()));
+        let service =
+            |class: &Class| ClassEstimate::new(class.aim * SERVICE_PRIOR, Purse::full(class.budgets()));
         let service = settings.classes.iter().map(service).collect();
-        let seen = Learnt::new(service, settings.tenants.len(), Purse::full(settings.budgets()));
+        let seen = Estimates::new(service, settings.tenants.len(), Purse::full(settings.budgets()));
         Balancer {
             settings,
             rng: Rand64::new(u128::from(seed)),
             now: 0.0,
             requests: BTreeMap::new(),
-            fleet: Fleet::new(seed),
-            seen,
-            guided: Guided::default(),
+            endpoints: Fleet::new(seed),
+            estimates: seen,
+            guidance: ClusterGuidance::default(),
             slow_start: SlowStart::new(seed),
         }
     }
@@ -146,13 +147,13 @@
     /// Takes in one event and appends the actions that answer it.
     pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        self.fleet.pass_time(self.now, &self.settings.safety);
+        self.endpoints.pass_time(self.now, &self.settings.safety);
         self.slow_start.begin(self.now);
         match event {
             Event::Arrived { request, class, tenant, time_left, repeat } => {
                 let earned = if repeat { 0.0 } else { PROBES_WORTH / self.settings.probe_fee };
-                self.seen.probes = (self.seen.probes + earned).min(PROBES_SAVED);
-                self.arrived(request, Held::new(class, tenant, self.now, time_left.max(0.0)), out)
+                self.estimates.probe_budget = (self.estimates.probe_budget + earned).min(PROBES_SAVED);
+                self.arrived(request, PendingRequest::new(class, tenant, self.now, time_left.max(0.0)), out)
             }
             Event::Finished(end) => {
                 self.settle(end, out);
@@ -163,21 +164,21 @@
             Event::Listed(news) => self.listed(news),
             Event::Guided(told) => {
                 let before = self.budgets();
-                self.guided.take(*told);
-                self.seen.purse = self.seen.purse.within(before, self.budgets());
+                self.guidance.update(*told);
+                self.estimates.retry_budget = self.estimates.retry_budget.within(before, self.budgets());
             }
             Event::Reported { upstream, report, age } => self.take_report(upstream, report, age),
             Event::Tried { upstream, well } => self.tried(upstream, well),
             Event::Within(residency) => {
-                self.fleet.bound(&residency.rings);
-                self.guided.within = Some(residency);
+                self.endpoints.bound(&residency.rings);
+                self.guidance.residency = Some(residency);
                 self.choose_subset();
             }
             Event::Woke(token) => self.woke(RequestId(token >> 1), token & 1 == 1, out),
         }
     }
 
-    fn arrived(&mut self, request: RequestId, mut held: Held, out: &mut Vec<Action>) {
+    fn arrived(&mut self, request: RequestId, mut held: PendingRequest, out: &mut Vec<Action>) {
         if self.requests.contains_key(&request) {
             return;
         }
@@ -185,20 +186,21 @@
         let Some(class) = self.settings.classes.get(id.0) else {
             return out.push(Action::Refuse { request, retry_after: 0.0, reason: Reason::default() });
         };
-        held.deadline = held.deadline.min(held.arrived + class.policy.overall.map_or(f64::MAX, |all| all.0));
-        self.seen.service[held.class.0].purse.earn(class.budgets());
-        self.seen.purse.earn(self.budgets());
-        for (number, share) in self.seen.tenant_shares.iter_mut().enumerate() {
+        held.deadline =
+            held.deadline.min(held.arrived_at + class.policy.overall.map_or(f64::MAX, |all| all.0));
+        self.estimates.classes[held.class.0].retry_budget.earn(class.budgets());
+        self.estimates.retry_budget.earn(self.budgets());
+        for (number, share) in self.estimates.tenant_shares.iter_mut().enumerate() {
             *share += SMOOTH_ALL * (f64::from(u8::from(number == held.tenant.0)) - *share);
         }
         let density = self.density(held.class);
-        let usual = self.seen.usual_density.get_or_insert(density);
+        let usual = self.estimates.mean_worth_density.get_or_insert(density);
         *usual += SMOOTH_ALL * (density - *usual);
         self.slow_start.arrived(id, class.aim * SERVICE_PRIOR);
         self.requests.insert(request, held);
         // Asked whether or not they are drawn: the others hear of these servers by this sidecar alone.
-        self.guided.duty().into_iter().for_each(|id| self.probe(id, out));
-        match self.guided.admit(id) {
+        self.guidance.next_probe().into_iter().for_each(|id| self.probe(id, out));
+        match self.guidance.admission_probability(id) {
             Some(chance) if self.rng.rand_float() >= chance => self.give_up(request, Reason::Shed, out),
             _ => self.place(request, out),
         }
@@ -208,26 +210,33 @@
     fn place(&mut self, request: RequestId, out: &mut Vec<Action>) {
         let Some(held) = self.requests.get(&request).cloned() else { return };
         let to = self.choose(request, &held, out);
-        self.seen.refused += SMOOTH_ALL * (f64::from(u8::from(to.is_none())) - self.seen.refused);
+        self.estimates.rejection_rate +=
+            SMOOTH_ALL * (f64::from(u8::from(to.is_none())) - self.estimates.rejection_rate);
         match to {
-            Some(to) => self.send(request, to, self.fleet.serving(self.guided.ring(&held)) > 1, out),
-            None => self.give_up(request, self.fleet.lack(self.guided.ring(&held)), out),
+            Some(to) => self.send(request, to, self.endpoints.serving(self.guidance.ring(&held)) > 1, out),
+            None => self.give_up(request, self.endpoints.lack(self.guidance.ring(&held)), out),
         }
     }
 
     /// Draws pairs until one has a member with room; it goes to the one with the smaller projected
     /// utilisation.
-    fn choose(&mut self, request: RequestId, held: &Held, out: &mut Vec<Action>) -> Option<Candidate> {
-        let ring = self.guided.ring(held);
+    fn choose(
+        &mut self,
+        request: RequestId,
+        held: &PendingRequest,
+        out: &mut Vec<Action>,
+    ) -> Option<Candidate> {
+        let ring = self.guidance.ring(held);
         let within = self.reach(ring, held)?;
-        let spared = self.fleet.count(ring, &[Pool::Warm, Pool::Cold]) > held.tries.len();
-        let (room, left) = (self.room(), self.room_scale() * self.aim_left(held));
-        let most = self.seen_alone() * self.room_scale();
+        let spared = self.endpoints.count(ring, &[Pool::Warm, Pool::Cold]) > held.attempts.len();
+        let (room, left) = (self.slowdown_limit(), self.headroom_scale() * self.time_to_objective(held));
+        let most = self.seen_alone() * self.headroom_scale();
         let favoured = self.rng.rand_float() < self.favour(held);
         // An idle one always has room: a service time learnt in a jam would lock everyone out.
         // What bounds a cold one is its allowance: unheard of, it seems to hold what warm ones hold.
-        let bounded = |to: &Candidate| to.crowding <= room && to.used <= most * to.limit;
-        let fits = |to: &Candidate| to.wait <= left && (to.pool == Pool::Cold || bounded(to));
+        let bounded =
+            |to: &Candidate| to.expected_slowdown <= room && to.occupancy <= most * to.limit_fraction;
+        let fits = |to: &Candidate| to.expected_latency <= left && (to.pool == Pool::Cold || bounded(to));
         let (mut last, mut cold_drawn) = ([None; 3], false);
         let pairs = (PAIRS[0] + PAIRS[1] * (self.seen_alone() - 1.0)).round() as usize;
         for round in 0.. {
@@ -246,13 +255,15 @@
             let Some(ids) = drawn.map(|drawn| drawn.map(|to| to.map(|to| to.id))) else { continue };
             last = drawn.unwrap_or_default();
             let mut by_use = last;
-            by_use.sort_by_key(|to| to.map_or(OrderedFloat(f64::MAX), |to| OrderedFloat(to.projected)));
+            by_use.sort_by_key(|to| {
+                to.map_or(OrderedFloat(f64::MAX), |to| OrderedFloat(to.projected_utilisation))
+            });
             for to in by_use.into_iter().flatten() {
                 // One that has just failed this request is the likeliest to fail it again.
-                let failed = spared && held.tries.iter().any(|t| t.upstream == to.id);
-                let others = to.pool == Pool::Trial && !self.guided.tries(to.id);
+                let failed = spared && held.attempts.iter().any(|t| t.upstream == to.id);
+                let others = to.pool == Pool::Trial && !self.guidance.may_send_ejection_probe(to.id);
                 let waits = (to.pool == Pool::Waiting || others) && from != From::Everyone;
-                if failed || waits || to.shut || !(to.idle || favoured && fits(&to)) {
+                if failed || waits || to.backing_off || !(to.idle || favoured && fits(&to)) {
                     continue;
                 }
                 cold_drawn |= to.pool == Pool::Cold;
@@ -264,21 +275,23 @@
         }
         // A pair is asked all the same: else none would ever be seen to have room again.
         last.iter().flatten().for_each(|drawn| self.probe(drawn.id, out));
-        self.explain(request, held, &last, out);
+        self.log_rejection(request, held, &last, out);
         None
     }
 
     /// Whom a request may go to, by what may have run already.
-    fn reach(&self, ring: Option<usize>, held: &Held) -> Option<From> {
+    fn reach(&self, ring: Option<usize>, held: &PendingRequest) -> Option<From> {
         // Everyone looks bad: rather ask someone than no one.
-        let healthy = self.fleet.count(ring, &[Pool::Warm, Pool::Cold]) > 0;
+        let healthy = self.endpoints.count(ring, &[Pool::Warm, Pool::Cold]) > 0;
         let anyone = Some(if healthy { From::Ready } else { From::Everyone });
-        let Some(first) = held.tries.iter().find(|t| t.out || t.may_have_run) else { return anyone };
+        let Some(first) = held.attempts.iter().find(|t| t.pending || t.may_have_run) else { return anyone };
         match self.settings.classes[held.class.0].effect {
             Effect::Repeatable => anyone,
             Effect::Once => None,
             // The window counts from the first send that may have run; a tick is kept in hand.
-            Effect::ByKey { window, .. } if self.now + self.settings.limits.tick >= first.sent + window => {
+            Effect::ByKey { window, .. }
+                if self.now + self.settings.limits.tick >= first.sent_at + window =>
+            {
                 None
             }
             Effect::ByKey { scope: Scope::All, .. } => anyone,
@@ -290,50 +303,54 @@
     /// How many times its service time an answer may take, less while answers are late. The same for all: by
     /// what its time leaves of its aim, the class that takes longest would bear all refusals. Its own wait
     /// must only make its aim.
-    pub(crate) fn room(&self) -> f64 {
-        CROWDED * self.seen_alone() * self.room_scale()
+    pub(crate) fn slowdown_limit(&self) -> f64 {
+        CROWDED * self.seen_alone() * self.headroom_scale()
     }
 
     /// How much more than where nearly all comes from others may be sent to a server, since more of what it
     /// holds is known: own sends at once and exactly, others' by reports a second old and the fleet's mean.
     fn seen_alone(&self) -> f64 {
-        1.0 + WAITING / self.seen.sharers.max(1.0).powf(UNSEEN)
+        1.0 + WAITING / self.estimates.sidecars_per_server.max(1.0).powf(UNSEEN)
     }
 
     /// The chance that a request may go to a server that is not idle: what earns less than the usual for its
     /// service time stands back, the more so the more has to be refused. A chance and not a tighter limit:
     /// where sidecars know little but the fleet's mean, a limit lets in all of a class or nothing.
-    fn favour(&self, held: &Held) -> f64 {
+    fn favour(&self, held: &PendingRequest) -> f64 {
         let density = self.density(held.class);
-        let usual = self.seen.usual_density.unwrap_or(density);
-        let strength = FAVOUR * self.seen.refused / (self.seen.refused + FAVOUR_HALF);
+        let usual = self.estimates.mean_worth_density.unwrap_or(density);
+        let strength = FAVOUR * self.estimates.rejection_rate / (self.estimates.rejection_rate + FAVOUR_HALF);
         (density / usual).powf(strength).clamp(FAVOUR_LEAST, 1.0) * self.within_share(held).powf(strength)
     }
 
     /// What was learnt of late answers fades: after a jam hardly any answers come to unlearn it by.
-    pub(crate) fn room_scale(&self) -> f64 {
-        faded(self.seen.room_scale, self.now - self.seen.room_at, ROOM_FORGETS)
+    pub(crate) fn headroom_scale(&self) -> f64 {
+        faded(self.estimates.headroom_scale, self.now - self.estimates.headroom_updated_at, ROOM_FORGETS)
     }
 
     /// What a request of a class earns for its service time, which a worth that counts by work has in it.
     fn density(&self, class: ClassId) -> f64 {
-        let work = if self.settings.worth_by_work { 1.0 } else { self.seen.service[class.0].time.max(1.0) };
+        let work = if self.settings.worth_by_work {
+            1.0
+        } else {
+            self.estimates.classes[class.0].service_time.max(1.0)
+        };
         self.settings.classes[class.0].worth.max(f64::MIN_POSITIVE) / work
     }
 
     /// The share of its class's worth that a request earns. No sidecar can know which tenants are over their
     /// quota; those with more of our arrivals than of all quotas are the likeliest.
-    fn within_share(&self, held: &Held) -> f64 {
+    fn within_share(&self, held: &PendingRequest) -> f64 {
         let quotas: f64 = self.settings.tenants.iter().map(|tenant| tenant.quota_per_s).sum();
         let quota = self.settings.tenants.get(held.tenant.0).map_or(0.0, |tenant| tenant.quota_per_s);
-        let share = self.seen.tenant_shares.get(held.tenant.0).copied().unwrap_or(0.0);
+        let share = self.estimates.tenant_shares.get(held.tenant.0).copied().unwrap_or(0.0);
         let within = if quota > 0.0 && share > 0.0 { (quota / quotas / share).min(1.0) } else { 1.0 };
         within + (1.0 - within) * self.settings.over_quota_worth
     }
 
     /// Time until the answer loses its worth.
-    pub(crate) fn aim_left(&self, held: &Held) -> Millis {
-        held.deadline.min(held.arrived + self.settings.classes[held.class.0].aim) - self.now
+    pub(crate) fn time_to_objective(&self, held: &PendingRequest) -> Millis {
+        held.deadline.min(held.arrived_at + self.settings.classes[held.class.0].aim) - self.now
     }
 
     /// Ends a request: refused where that is safe to say, else failed.
@@ -341,11 +358,11 @@
         let Some(held) = self.requests.remove(&request) else { return };
         let safe = match self.settings.classes[held.class.0].effect {
             Effect::Repeatable | Effect::ByKey { scope: Scope::All, .. } => true,
-            Effect::ByKey { .. } | Effect::Once => !held.tries.iter().any(|t| t.may_have_run),
+            Effect::ByKey { .. } | Effect::Once => !held.attempts.iter().any(|t| t.may_have_run),
         };
         if safe {
             // Soon enough to make its aim yet, and spread: all that were refused together come back.
-            let spread = self.guided.come_back(self.rng.rand_float());
+            let spread = self.guidance.retry_after_fraction(self.rng.rand_float());
             let soon = RETRY_AFTER * self.settings.classes[held.class.0].aim * spread;
             let retry_after = soon.min(self.settings.limits.max_retry_after);
             out.push(Action::Refuse { request, retry_after, reason });
@@ -357,39 +374,39 @@
     // --- A server as it looks now ------------------------------------------------------------
 
     /// A server's projected utilisation and expected answer time for this request.
-    pub(crate) fn look(&self, id: UpstreamId, held: &Held) -> Option<Candidate> {
-        let server = self.fleet.get(id).filter(|server| self.guided.allows(held, server.zone))?;
-        let (in_flight, kappa) = (self.in_flight(server), self.kappa(server));
-        let warmth = server.warmth(self.now, &self.settings.safety);
+    pub(crate) fn evaluate(&self, id: UpstreamId, held: &PendingRequest) -> Option<Candidate> {
+        let server = self.endpoints.get(id).filter(|server| self.guidance.allows(held, server.zone))?;
+        let (in_flight, kappa) = (self.in_flight(server), self.capacity(server));
+        let warmth = server.warm_fraction(self.now, &self.settings.safety);
         let slowness = self.slowness(server) / warmth;
         let used = (in_flight + 1.0) / kappa;
         let depth = used.max(1.0);
         Some(Candidate {
             id,
-            pool: server.pooled.map_or(Pool::Waiting, |(_, pool)| pool),
-            warmth,
-            projected: used * slowness,
-            used,
-            depth,
-            shut: self.now < server.shut_until,
-            limit: if self.sized(server) { server.limit_at(self.now) } else { f64::MAX },
+            pool: server.placement.map_or(Pool::Waiting, |(_, pool)| pool),
+            warm_fraction: warmth,
+            projected_utilisation: used * slowness,
+            occupancy: used,
+            queue_depth: depth,
+            backing_off: self.now < server.backoff_until,
+            limit_fraction: if self.sized(server) { server.limit_fraction_at(self.now) } else { f64::MAX },
             // An empty one is idle whatever its size: else nothing could ever correct what was learnt.
             idle: in_flight + 1.0 <= (IDLE * kappa).max(IDLE_LEAST),
-            crowding: slowness * depth,
-            wait: self.seen.service[held.class.0].time * slowness * depth,
+            expected_slowdown: slowness * depth,
+            expected_latency: self.estimates.classes[held.class.0].service_time * slowness * depth,
         })
     }
 
     /// κ: how many requests a server works on at once. Its listed weight says how it compares with others
     /// of its kind, and what reports below saturation say of the kind as a whole how large that is.
-    pub(crate) fn kappa(&self, upstream: &Upstream) -> f64 {
-        let kind = self.seen.kinds.get(&upstream.kind).unwrap_or(&self.seen.fleet);
-        (upstream.weight * kind.kappa()).max(0.1)
+    pub(crate) fn capacity(&self, upstream: &Upstream) -> f64 {
+        let kind = self.estimates.kinds.get(&upstream.kind).unwrap_or(&self.estimates.all_servers);
+        (upstream.weight * kind.capacity_per_weight()).max(0.1)
     }
 
     /// Whether κ is known well enough to hold a server to it.
     fn sized(&self, upstream: &Upstream) -> bool {
-        let calm = self.seen.kinds.get(&upstream.kind).map_or(0.0, |kind| kind.calm);
+        let calm = self.estimates.kinds.get(&upstream.kind).map_or(0.0, |kind| kind.low_load_reports);
         self.settings.sizes_listed || calm >= CALM_ENOUGH
     }
 
@@ -400,12 +417,12 @@
         let (usual, told) = self.others(upstream);
         let others = usual + (told - usual) * (-age / FORGET).exp();
         // What is out for long while the server answers others is lost or hangs, and holds no place there.
-        let longest = self.seen.service.iter().map(|service| service.time).fold(1.0, f64::max);
+        let longest = self.estimates.classes.iter().map(|service| service.service_time).fold(1.0, f64::max);
         let since = self.now - LOST_AFTER * longest * self.remembered(upstream).max(1.0);
-        let lost = if upstream.answered_at < since {
+        let lost = if upstream.last_answer_at < since {
             0
         } else {
-            upstream.outstanding.partition_point(|o| o.sent < since)
+            upstream.outstanding.partition_point(|o| o.sent_at < since)
         };
         (upstream.outstanding.len() - lost) as f64 + others
     }
@@ -415,26 +432,29 @@
         let learnt = self.remembered(upstream);
         // A server that hangs gives no answers to learn from: the time since its last one tells.
         let ageing = upstream.outstanding.first().map_or(0.0, |oldest| {
-            AGEING * (self.now - oldest.sent.max(upstream.answered_at))
-                / (oldest.to.depth * self.seen.service[oldest.class.0].time)
+            AGEING * (self.now - oldest.sent_at.max(upstream.last_answer_at))
+                / (oldest.candidate.queue_depth * self.estimates.classes[oldest.class.0].service_time)
         });
         learnt.max(ageing).max(0.05)
     }
 
     /// What answers told of its slowness; as that is forgotten, the slowness of its kind takes its place.
     fn remembered(&self, upstream: &Upstream) -> f64 {
-        let kind = self.seen.kinds.get(&upstream.kind).filter(|kind| kind.answers > 0.0);
-        let pace = kind.unwrap_or(&self.seen.fleet).pace;
-        pace + (upstream.slowness - pace) * (-(self.now - upstream.learnt_at) / FORGET).exp()
+        let kind = self.estimates.kinds.get(&upstream.kind).filter(|kind| kind.answer_count > 0.0);
+        let pace = kind.unwrap_or(&self.estimates.all_servers).mean_slowness;
+        pace + (upstream.slowness - pace) * (-(self.now - upstream.slowness_updated_at) / FORGET).exp()
     }
 
     fn probe(&mut self, id: UpstreamId, out: &mut Vec<Action>) {
-        let asks = self.guided.asks(id) && self.settings.limits.probes && self.seen.probes >= 1.0;
-        let Some(upstream) = self.fleet.get_mut(id).filter(|server| asks && server.serving) else { return };
-        let waiting = upstream.probe_sent.is_some_and(|sent| self.now - sent < STALE);
+        let asks =
+            self.guidance.may_probe(id) && self.settings.limits.probes && self.estimates.probe_budget >= 1.0;
+        let Some(upstream) = self.endpoints.get_mut(id).filter(|server| asks && server.serving) else {
+            return;
+        };
+        let waiting = upstream.probe_sent_at.is_some_and(|sent| self.now - sent < STALE);
         if !waiting && self.now - upstream.reported_at > FRESH {
-            upstream.probe_sent = Some(self.now);
-            self.seen.probes -= 1.0;
+            upstream.probe_sent_at = Some(self.now);
+            self.estimates.probe_budget -= 1.0;
             out.push(Action::Probe(id));
         }
     }
@@ -442,65 +462,75 @@
     fn send(&mut self, request: RequestId, to: Candidate, others: bool, out: &mut Vec<Action>) {
         let Some(held) = self.requests.get(&request) else { return };
         let timeout = self.timeout(held, to, others);
-        let (class, attempt) = (held.class, AttemptNo(held.tries.len() as u32));
-        let may = self.settings.limits.duplicates && held.tries.is_empty();
+        let (class, attempt) = (held.class, AttemptNo(held.attempts.len() as u32));
+        let may = self.settings.limits.duplicates && held.attempts.is_empty();
         if let Some(copy) = self.settings.classes[class.0].policy.second_copy.filter(|_| may) {
-            let after = copy.after.ms(self.seen.service[class.0].late);
+            let after = copy.after.ms(self.estimates.classes[class.0].hedge_delay);
             out.push(Action::WakeAt { at: self.now + after, token: request.0 << 1 | 1 });
         }
-        let Some(upstream) = self.fleet.get_mut(to.id) else { return };
-        upstream.outstanding.push(Outstanding { request, attempt, class, sent: self.now, to });
-        let this = Try::new(to.id, upstream, self.now);
+        let Some(upstream) = self.endpoints.get_mut(to.id) else { return };
+        upstream.outstanding.push(OutstandingAttempt {
+            request,
+            attempt,
+            class,
+            sent_at: self.now,
+            candidate: to,
+        });
+        let this = Attempt::new(to.id, upstream, self.now);
         if let Some(held) = self.requests.get_mut(&request) {
-            held.tries.push(this);
+            held.attempts.push(this);
         }
-        self.guided.sent(&to);
-        if to.warmth < 1.0 {
+        self.guidance.record_send(&to);
+        if to.warm_fraction < 1.0 {
             self.slow_start.sent(to.id, self.now, self.settings.safety.fall);
         }
-        self.fleet.settle(to.id, &self.settings.safety);
+        self.endpoints.settle(to.id, &self.settings.safety);
         out.push(Action::Send { request, upstream: to.id, timeout });
     }
 
     /// Long enough for this attempt, short enough for another to make the aim. What waits at a server past
     /// the time at which its answer is worth anything is in the way of others.
-    fn timeout(&self, held: &Held, to: Candidate, others: bool) -> Millis {
+    fn timeout(&self, held: &PendingRequest, to: Candidate, others: bool) -> Millis {
         let class = &self.settings.classes[held.class.0];
         let most = class.policy.attempt_timeout.map_or(f64::MAX, |most| most.0);
-        let end = if class.late_worth > 0.0 { held.deadline - self.now } else { self.aim_left(held) };
+        let end =
+            if class.late_worth > 0.0 { held.deadline - self.now } else { self.time_to_objective(held) };
         let left = end.max(0.0).min(most);
-        let last = held.tries.len() as u32 + 1 >= self.settings.limits.max_attempts;
-        let retries = self.seen.purse.holds(Further::Retry, self.budgets());
+        let last = held.attempts.len() as u32 + 1 >= self.settings.limits.max_attempts;
+        let retries = self.estimates.retry_budget.holds(Further::Retry, self.budgets());
         if last || !others || class.effect == Effect::Once || !retries {
             return left;
         }
-        let spare = held.arrived + class.aim - self.now - RETRY_ROOM * self.seen.service[held.class.0].time;
-        spare.max(PATIENCE * to.wait).min(left)
+        let spare = held.arrived_at + class.aim
+            - self.now
+            - RETRY_ROOM * self.estimates.classes[held.class.0].service_time;
+        spare.max(PATIENCE * to.expected_latency).min(left)
     }
 
     /// Goes on with the request after an attempt has ended.
     fn finished(&mut self, end: Finished, out: &mut Vec<Action>) {
         let (request, outcome) = (end.request, end.outcome);
         let Some(held) = self.requests.get_mut(&request) else { return };
-        let Some(this) = held.tries.get_mut(end.attempt.0 as usize).filter(|t| t.out) else { return };
-        this.out = false;
+        let Some(this) = held.attempts.get_mut(end.attempt.0 as usize).filter(|t| t.pending) else { return };
+        this.pending = false;
         this.may_have_run = outcome.may_have_run();
-        let late = self.now > held.arrived + self.settings.classes[held.class.0].aim;
+        let late = self.now > held.arrived_at + self.settings.classes[held.class.0].aim;
         let step = if outcome == Outcome::Full { 0.0 } else { SMOOTH_ALL }
             * (LATE_TARGET - f64::from(u8::from(late)));
-        self.seen.room_scale = (self.room_scale() * (1.0 + step)).clamp(0.25, 1.0);
-        self.seen.room_at = self.now;
+        self.estimates.headroom_scale = (self.headroom_scale() * (1.0 + step)).clamp(0.25, 1.0);
+        self.estimates.headroom_updated_at = self.now;
         if end.closed || outcome == Outcome::Ok {
             return self.abandoned(request, out);
         }
-        let no_copy_out = |held: &&Held| !held.tries.iter().any(|t| t.out);
+        let no_copy_out = |held: &&PendingRequest| !held.attempts.iter().any(|t| t.pending);
         let Some(held) = self.requests.get(&request).filter(no_copy_out) else { return };
         let policy = &self.settings.classes[held.class.0].policy;
-        let (sends, ran) = (held.tries.len() as u32, held.tries.iter().filter(|t| t.may_have_run).count());
+        let (sends, ran) =
+            (held.attempts.len() as u32, held.attempts.iter().filter(|t| t.may_have_run).count());
         let attempts_left =
             sends < self.settings.limits.max_attempts && policy.follows(outcome.failure(), sends, ran as u32);
         let pause = policy.backoff.map_or(0.0, |backoff| backoff.pause_ms(sends, self.rng.rand_float()));
-        let worth_it = self.aim_left(held) > pause && outcome != Outcome::NotSent;
+        let worth_it = self.time_to_objective(held) > pause && outcome != Outcome::NotSent;
         // What never left this machine costs no server anything.
         let is_free = outcome == Outcome::LocalFailure;
         match attempts_left && worth_it && (is_free || self.spend(held.class, Further::Retry)) {
@@ -512,23 +542,26 @@
 
     /// How many further sends all requests together may have: by the fleet, else by the settings.
     pub(crate) fn budgets(&self) -> Budgets {
-        self.guided.budgets(self.settings.budgets())
+        self.guidance.budgets(self.settings.budgets())
     }
 
     /// Takes one of the further sends that all requests together and those of the class may have.
     fn spend(&mut self, class: ClassId, kind: Further) -> bool {
         let (all, own) = (self.budgets(), self.settings.classes[class.0].budgets());
-        let purses = [(&mut self.seen.purse, all), (&mut self.seen.service[class.0].purse, own)];
+        let purses = [
+            (&mut self.estimates.retry_budget, all),
+            (&mut self.estimates.classes[class.0].retry_budget, own),
+        ];
         purse::spend(kind, purses)
     }
 
     /// A pause before another send is over, or it is time for a second copy.
     fn woke(&mut self, request: RequestId, copy: bool, out: &mut Vec<Action>) {
         let Some(held) = self.requests.get(&request).cloned() else { return };
-        match &held.tries[..] {
-            [.., _] if !copy && !held.tries.iter().any(|t| t.out) => self.place(request, out),
+        match &held.attempts[..] {
+            [.., _] if !copy && !held.attempts.iter().any(|t| t.pending) => self.place(request, out),
             // Elsewhere or not at all: behind the first it would only wait as well.
-            [first] if copy && first.out && self.settings.limits.max_attempts > 1 => {
+            [first] if copy && first.pending && self.settings.limits.max_attempts > 1 => {
                 let to = self.choose(request, &held, out).filter(|to| to.id != first.upstream);
                 if let Some(to) = to.filter(|_| self.spend(held.class, Further::Copy)) {
                     self.send(request, to, false, out);
@@ -542,7 +575,7 @@
     fn abandoned(&mut self, request: RequestId, out: &mut Vec<Action>) {
         let Some(held) = self.requests.remove(&request) else { return };
         let cancel = self.settings.limits.cancel;
-        for (number, _) in held.tries.iter().enumerate().filter(|(_, t)| t.out && cancel) {
+        for (number, _) in held.attempts.iter().enumerate().filter(|(_, t)| t.pending && cancel) {
             out.push(Action::Cancel { request, attempt: AttemptNo(number as u32) });
         }
     }
@@ -550,11 +583,11 @@
     /// Learns from an attempt's end, whether or not its request is still held.
     fn settle(&mut self, end: Finished, out: &mut Vec<Action>) {
         let Finished { upstream: id, outcome, latency, .. } = end;
-        let Some(upstream) = self.fleet.get_mut(id) else { return };
-        let Some(sent) = upstream.take(end.request, end.attempt) else { return };
-        let silent = upstream.answered_at <= sent.sent;
-        self.fleet.settle(id, &self.settings.safety);
-        self.fleet.forget(id);
+        let Some(upstream) = self.endpoints.get_mut(id) else { return };
+        let Some(sent) = upstream.remove_outstanding(end.request, end.attempt) else { return };
+        let silent = upstream.last_answer_at <= sent.sent_at;
+        self.endpoints.settle(id, &self.settings.safety);
+        self.endpoints.forget(id);
         // Where a copy has won, the one that it overtook says as much as one whose time was up.
         let copied = self.settings.classes[sent.class.0].policy.second_copy.is_some();
         if matches!(outcome, Outcome::Ok | Outcome::TimedOut) || (copied && outcome == Outcome::Cancelled) {
@@ -568,7 +601,7 @@
             Outcome::Ok => false,
             Outcome::Error | Outcome::Unreachable | Outcome::Reset => true,
             // Under overload good servers time out too; one that answered nothing in all that time hangs.
-            Outcome::TimedOut if silent && latency >= PATIENCE * sent.to.wait => true,
+            Outcome::TimedOut if silent && latency >= PATIENCE * sent.candidate.expected_latency => true,
             _ => return,
         };
         self.judge(id, failed, out);
@@ -577,48 +610,49 @@
     /// A server that turned a request away takes less than its size tells: fewer are held there for a
     /// while. One that does so at once is left alone as well, longer each time: it looks idle by its counts
     /// and would win every draw. Neither is a failure of the server, nor tells it anything of the others.
-    fn limit(&mut self, end: Finished, sent: Outstanding, out: &mut Vec<Action>) {
+    fn limit(&mut self, end: Finished, sent: OutstandingAttempt, out: &mut Vec<Action>) {
         let Finished { upstream: id, outcome, latency, .. } = end;
-        let Some(server) = self.fleet.get_mut(id) else { return };
+        let Some(server) = self.endpoints.get_mut(id) else { return };
         if outcome == Outcome::Ok {
-            server.shut_for = 0.0;
+            server.backoff_duration = 0.0;
         }
         // One that was sent before the limit was cut says nothing of what it is now.
-        if outcome != Outcome::Full || sent.sent < server.limited_at {
+        if outcome != Outcome::Full || sent.sent_at < server.limit_updated_at {
             return;
         }
-        server.limit = (server.limit_at(self.now) * LIMIT_CUT).max(LIMIT_LEAST);
-        server.limited_at = self.now;
-        if latency < sent.to.wait / 2.0 {
-            server.shut_for = (2.0 * server.shut_for).clamp(SHUT_FOR[0], SHUT_FOR[1]);
-            server.shut_until = self.now + server.shut_for;
+        server.limit_fraction = (server.limit_fraction_at(self.now) * LIMIT_CUT).max(LIMIT_LEAST);
+        server.limit_updated_at = self.now;
+        if latency < sent.candidate.expected_latency / 2.0 {
+            server.backoff_duration = (2.0 * server.backoff_duration).clamp(SHUT_FOR[0], SHUT_FOR[1]);
+            server.backoff_until = self.now + server.backoff_duration;
         }
-        let limit = server.limit;
+        let limit = server.limit_fraction;
         let text = format!("server {} turned a request away after {latency:.0} ms: limit={limit:.2}", id.0);
         out.push(Action::Log { about: None, text });
     }
 
     /// An answer tells the class's service time and this server's pace, with the queue taken out; a
     /// time-out tells that the server is at least this slow.
-    fn learn(&mut self, id: UpstreamId, sent: Outstanding, latency: Millis, answered: bool) {
+    fn learn(&mut self, id: UpstreamId, sent: OutstandingAttempt, latency: Millis, answered: bool) {
         // What a cold server takes longer is no sign of crowding, nor of the speed it will have.
-        let Some(server) = self.fleet.get(id).filter(|_| latency > 0.0) else { return };
-        let (known, warmth) = (self.remembered(server), server.warmth(self.now, &self.settings.safety));
-        let Some(upstream) = self.fleet.get_mut(id) else { return };
-        let alone = latency * warmth / sent.to.depth;
-        let service = &mut self.seen.service[sent.class.0];
-        let pace = alone / service.time;
+        let Some(server) = self.endpoints.get(id).filter(|_| latency > 0.0) else { return };
+        let (known, warmth) =
+            (self.remembered(server), server.warm_fraction(self.now, &self.settings.safety));
+        let Some(upstream) = self.endpoints.get_mut(id) else { return };
+        let alone = latency * warmth / sent.candidate.queue_depth;
+        let service = &mut self.estimates.classes[sent.class.0];
+        let pace = alone / service.service_time;
         let (seen, weight) = if answered { (pace, SMOOTH) } else { (known.max(AGEING * pace), 1.0) };
         upstream.slowness = known + weight * (seen - known);
-        upstream.learnt_at = self.now;
-        self.seen.kinds.entry(upstream.kind).or_default().answered(seen, SMOOTH_ALL);
-        self.seen.fleet.answered(seen, SMOOTH_ALL);
-        upstream.answered_at = if answered { self.now } else { upstream.answered_at };
+        upstream.slowness_updated_at = self.now;
+        self.estimates.kinds.entry(upstream.kind).or_default().add_answer(seen, SMOOTH_ALL);
+        self.estimates.all_servers.add_answer(seen, SMOOTH_ALL);
+        upstream.last_answer_at = if answered { self.now } else { upstream.last_answer_at };
         // The median of sends that met no queue tells the service time: behind one that we underrate,
         // answers are late, and a service time learnt from them would have us refuse work that there is
         // room for.
-        if answered && sent.to.depth <= 1.0 {
-            service.add(alone, SMOOTH_ALL);
+        if answered && sent.candidate.queue_depth <= 1.0 {
+            service.add_sample(alone, SMOOTH_ALL);
             if warmth >= 1.0 {
                 let assumed = self.settings.classes[sent.class.0].aim * SERVICE_PRIOR;
                 self.slow_start.answered(sent.class, alone, assumed);
@@ -626,13 +660,14 @@
         }
         let copy = self.settings.classes[sent.class.0].policy.second_copy.filter(|_| answered);
         if let Some(share) = copy.and_then(|copy| copy.after.share()) {
-            service.late *= 1.0 + SMOOTH_ALL * (share - f64::from(u8::from(latency <= service.late)));
+            service.hedge_delay *=
+                1.0 + SMOOTH_ALL * (share - f64::from(u8::from(latency <= service.hedge_delay)));
         }
     }
 
     fn probed(&mut self, id: UpstreamId, answered: bool, report: Option<Report>) {
-        let Some(upstream) = self.fleet.get_mut(id) else { return };
-        upstream.probe_sent = None;
+        let Some(upstream) = self.endpoints.get_mut(id) else { return };
+        upstream.probe_sent_at = None;
         if let (Some(report), true) = (report, answered) {
             self.take_report(id, report, 0.0);
         }
@@ -641,7 +676,9 @@
     /// Takes in a server's own figures as they were so long ago, unless newer ones are known.
     fn take_report(&mut self, id: UpstreamId, report: Report, age: Millis) {
         let at = self.now - age.max(0.0);
-        let Some(upstream) = self.fleet.get_mut(id).filter(|server| at >= server.reported_at) else { return };
+        let Some(upstream) = self.endpoints.get_mut(id).filter(|server| at >= server.reported_at) else {
+            return;
+        };
         let Some(in_flight) = report.in_flight.filter(|m| m.is_finite() && *m >= 0.0) else { return };
         // Reports are renewed now and then: one that comes again is no news, and would count for more than
         // one.
@@ -659,15 +696,17 @@
                 (1.0 - (-since / CALM_OVER).exp()) * (utilisation - upstream.mean_utilisation);
         }
         let others = (in_flight - upstream.outstanding.len() as f64).max(0.0);
-        upstream.others += (1.0 - (-since / OTHERS_OVER).exp()) * (others - upstream.others);
+        upstream.others_in_flight +=
+            (1.0 - (-since / OTHERS_OVER).exp()) * (others - upstream.others_in_flight);
         upstream.reported_at = at;
         // By time: where many sidecars share the probes, reports are too rare here to average by their count.
-        let elapsed = self.now - std::mem::replace(&mut self.seen.others_at, self.now);
+        let elapsed = self.now - std::mem::replace(&mut self.estimates.others_updated_at, self.now);
         let step = SMOOTH_ALL.max(1.0 - (-elapsed / OTHERS_OVER).exp());
-        self.seen.others += step * (upstream.others - self.seen.others);
+        self.estimates.others_in_flight +=
+            step * (upstream.others_in_flight - self.estimates.others_in_flight);
         let Some(utilisation) = utilisation.filter(|u| *u >= UTILISATION_FLOOR) else { return };
         // Servers that start with us begin their mean at 0: early ratios would call them huge.
-        if self.now < *self.seen.first_at.get_or_insert(self.now) + 2.0 * MEANS_OVER {
+        if self.now < *self.estimates.first_report_at.get_or_insert(self.now) + 2.0 * MEANS_OVER {
             return;
         }
         // A queue is in the in-flight count, too, so that a busy server's ratio tells how busy it is and
@@ -677,30 +716,30 @@
         let any = !self.settings.sizes_listed && utilisation < SATURATED;
         let prior = if self.settings.sizes_listed { SIZE_PRIOR } else { 1.0 };
         let (id, per_weight) = (upstream.kind, in_flight / upstream.weight);
-        for kind in [self.seen.kinds.entry(id).or_default(), &mut self.seen.fleet] {
-            if calm || (any && kind.calm < CALM_ENOUGH) {
-                let step = KAPPA_STEP.max(1.0 / (1.0 + prior + kind.reports));
-                kind.reported(per_weight, utilisation, step, calm);
+        for kind in [self.estimates.kinds.entry(id).or_default(), &mut self.estimates.all_servers] {
+            if calm || (any && kind.low_load_reports < CALM_ENOUGH) {
+                let step = KAPPA_STEP.max(1.0 / (1.0 + prior + kind.report_count));
+                kind.add_report(per_weight, utilisation, step, calm);
             }
         }
     }
 
     /// Counts an outcome for or against a server: outlier ejection with half-open trials.
     fn judge(&mut self, id: UpstreamId, failed: bool, out: &mut Vec<Action>) {
-        let count = self.fleet.serving(None) as f64;
-        let bar = EJECT_ABOVE + self.fleet.mean_failure_rate();
-        let ejected = self.fleet.count(None, &[Pool::Trial, Pool::Waiting]) as f64;
+        let count = self.endpoints.serving(None) as f64;
+        let bar = EJECT_ABOVE + self.endpoints.mean_failure_rate();
+        let ejected = self.endpoints.count(None, &[Pool::Trial, Pool::Waiting]) as f64;
         let may_eject = count > 1.0 && ejected + 1.0 <= (EJECT_SHARE * count).max(1.0);
         let (now, spread) = (self.now, 0.75 + 0.5 * self.rng.rand_float());
-        let rate = self.fleet.count_failure(id, failed, SMOOTH);
-        let Some(upstream) = self.fleet.get_mut(id) else { return };
-        let eject = |wait: Millis| Health::Ejected { until: now + wait * spread, wait };
+        let rate = self.endpoints.count_failure(id, failed, SMOOTH);
+        let Some(upstream) = self.endpoints.get_mut(id) else { return };
+        let eject = |wait: Millis| Health::Ejected { until: now + wait * spread, duration: wait };
         match upstream.health {
             Health::Ready if failed && may_eject && rate > bar => {
                 upstream.health = eject(EJECT_FOR[0]);
                 out.push(Action::Log { about: None, text: format!("server {} ejected for failures", id.0) });
             }
-            Health::Ejected { until, wait } if failed && now >= until => {
+            Health::Ejected { until, duration: wait } if failed && now >= until => {
                 upstream.health = eject((wait * 2.0).min(EJECT_FOR[1]));
             }
             // Only a trial brings it back: answers to what was sent before it was ejected still come in.
@@ -710,16 +749,16 @@
             }
             Health::Ready | Health::Ejected { .. } => {}
         }
-        self.fleet.settle(id, &self.settings.safety);
+        self.endpoints.settle(id, &self.settings.safety);
     }
 
     /// Another sidecar's trial ended: the server is back here as well, or left alone for longer.
     fn tried(&mut self, id: UpstreamId, well: bool) {
-        let Some(upstream) = self.fleet.get_mut(id) else { return };
-        let Health::Ejected { wait, .. } = upstream.health else { return };
-        let longer = Health::Ejected { until: self.now + wait, wait };
+        let Some(upstream) = self.endpoints.get_mut(id) else { return };
+        let Health::Ejected { duration: wait, .. } = upstream.health else { return };
+        let longer = Health::Ejected { until: self.now + wait, duration: wait };
         upstream.health = if well { Health::Ready } else { longer };
-        self.fleet.settle(id, &self.settings.safety);
+        self.endpoints.settle(id, &self.settings.safety);
     }
 
     // --- The server list ---------------------------------------------------------------------
@@ -729,10 +768,10 @@
         let (ListNews::Restored(list) | ListNews::Complete(list) | ListNews::Changed(list)) = news;
         // Who is missing from a complete list is gone.
         if whole {
-            self.fleet.keep_only(&list);
+            self.endpoints.keep_only(&list);
         }
         let (home, safety) = (self.settings.zone, &self.settings.safety);
-        list.iter().for_each(|entry| self.fleet.update(entry, home, safety));
+        list.iter().for_each(|entry| self.endpoints.update(entry, home, safety));
         self.slow_start.forget_before(self.now - safety.fall);
         self.choose_subset();
     }
@@ -741,7 +780,7 @@
         let sidecars = f64::from(self.settings.sidecars.max(1));
         let subset = |serving: usize| (SHARED_BY * serving as f64 / sidecars).max(SUBSET_LEAST);
         let (home, safety) = (self.settings.zone, &self.settings.safety);
-        let serving = self.fleet.keep_subset(|serving| subset(serving) as usize, home, safety);
-        self.seen.sharers = sidecars * (subset(serving) / serving as f64).min(1.0);
+        let serving = self.endpoints.keep_subset(|serving| subset(serving) as usize, home, safety);
+        self.estimates.sidecars_per_server = sidecars * (subset(serving) / serving as f64).min(1.0);
     }
 }
--- a/crates/sagemast/src/checkpoint.rs
+++ b/crates/sagemast/src/checkpoint.rs
@@ -1,14 +1,14 @@
 //! Takes a module up again from what was kept of it. Nothing is decided here.
 
 use crate::api::*;
-use crate::brain::Balancer;
+use crate::balancer::Balancer;
 
 impl Balancer {
     /// Goes on from a checkpoint, which holds all but the settings; `None` where they do not fit each
     /// other.
     pub fn resume(mut self, settings: Settings) -> Option<Balancer> {
-        let (classes, tenants) = (self.seen.service.len(), self.seen.tenant_shares.len());
-        let out = self.fleet.each().flat_map(|(_, upstream)| &upstream.outstanding).map(|out| out.class);
+        let (classes, tenants) = (self.estimates.classes.len(), self.estimates.tenant_shares.len());
+        let out = self.endpoints.each().flat_map(|(_, upstream)| &upstream.outstanding).map(|out| out.class);
         let known = self.requests.values().map(|held| held.class).chain(out).all(|class| class.0 < classes);
         let fits = known && classes == settings.classes.len() && tenants == settings.tenants.len();
         self.settings = settings;
--- a/crates/sagemast/src/guided.rs
+++ b/crates/sagemast/src/cluster_guidance.rs
@@ -7,111 +7,111 @@
 use serde::{Deserialize, Serialize};
 
 use crate::api::*;
-use crate::state::{Candidate, Held};
+use crate::state::{Candidate, PendingRequest};
 
 /// What the fleet told last.
 #[derive(Debug, Default, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Guided {
-    told: Guidance,
+pub(crate) struct ClusterGuidance {
+    current: Guidance,
     /// Whom its duties last had asked.
-    asked: Option<UpstreamId>,
+    last_probed: Option<UpstreamId>,
     /// Where requests may go.
-    pub within: Option<Residency>,
+    pub residency: Option<Residency>,
 }
 
-impl Guided {
+impl ClusterGuidance {
     /// Takes other guidance in place of what there is. What was sent of a lease stays sent while the lease is the same.
-    pub fn take(&mut self, mut told: Guidance) {
+    pub fn update(&mut self, mut told: Guidance) {
         for (id, lease) in told.cold.iter_mut().flatten() {
-            let held = self.told.cold.as_ref().and_then(|cold| cold.get(id));
+            let held = self.current.cold.as_ref().and_then(|cold| cold.get(id));
             if let Some(held) = held.filter(|held| held.until == lease.until) {
                 lease.requests = lease.requests.min(held.requests);
             }
         }
-        self.told = told;
+        self.current = told;
     }
 
     /// Budgets of further sends of all classes, given what the settings say.
     pub fn budgets(&self, [retries, copies]: Budgets) -> Budgets {
-        [self.told.retries.map(Into::into).or(retries), self.told.copies.map(Into::into).or(copies)]
+        [self.current.retries.map(Into::into).or(retries), self.current.copies.map(Into::into).or(copies)]
     }
 
     /// The chance that an arrival may be sent at all.
-    pub fn admit(&self, class: ClassId) -> Option<f64> {
-        self.told.admit.get(class.0).copied()
+    pub fn admission_probability(&self, class: ClassId) -> Option<f64> {
+        self.current.admit.get(class.0).copied()
     }
 
     /// Whether this sidecar may ask a server for its load.
-    pub fn asks(&self, id: UpstreamId) -> bool {
-        self.told.probes.as_ref().is_none_or(|duties| duties.contains(&id))
+    pub fn may_probe(&self, id: UpstreamId) -> bool {
+        self.current.probes.as_ref().is_none_or(|duties| duties.contains(&id))
     }
 
     /// The next of the servers whose load it is to ask for.
-    pub fn duty(&mut self) -> Option<UpstreamId> {
-        let duties = self.told.probes.as_ref()?;
-        let after = self.asked.map_or(Bound::Unbounded, Bound::Excluded);
-        self.asked = duties.range((after, Bound::Unbounded)).next().or(duties.first()).copied();
-        self.asked
+    pub fn next_probe(&mut self) -> Option<UpstreamId> {
+        let duties = self.current.probes.as_ref()?;
+        let after = self.last_probed.map_or(Bound::Unbounded, Bound::Excluded);
+        self.last_probed = duties.range((after, Bound::Unbounded)).next().or(duties.first()).copied();
+        self.last_probed
     }
 
     /// Whether it may try an ejected server whose time is up.
-    pub fn tries(&self, id: UpstreamId) -> bool {
-        self.told.trials.as_ref().is_none_or(|trials| trials.contains(&id))
+    pub fn may_send_ejection_probe(&self, id: UpstreamId) -> bool {
+        self.current.trials.as_ref().is_none_or(|trials| trials.contains(&id))
     }
 
     /// Whether leases say what servers in slow start are sent.
-    pub fn leases(&self) -> bool {
-        self.told.cold.is_some()
+    pub fn has_slow_start_leases(&self) -> bool {
+        self.current.cold.is_some()
     }
 
     /// Whether a server may be sent one more by what was leased of it; nothing where it is not cold, or nothing is leased.
-    pub fn leased(&self, to: &Candidate, now: Millis) -> Option<bool> {
-        let cold = self.told.cold.as_ref().filter(|_| to.warmth < 1.0)?;
+    pub fn lease_allows(&self, to: &Candidate, now: Millis) -> Option<bool> {
+        let cold = self.current.cold.as_ref().filter(|_| to.warm_fraction < 1.0)?;
         Some(cold.get(&to.id).is_some_and(|lease| lease.requests > 0 && now < lease.until))
     }
 
     /// Counts what was sent against the lease.
-    pub fn sent(&mut self, to: &Candidate) {
-        let lease = self.told.cold.as_mut().and_then(|cold| cold.get_mut(&to.id));
-        if let Some(lease) = lease.filter(|_| to.warmth < 1.0) {
+    pub fn record_send(&mut self, to: &Candidate) {
+        let lease = self.current.cold.as_mut().and_then(|cold| cold.get_mut(&to.id));
+        if let Some(lease) = lease.filter(|_| to.warm_fraction < 1.0) {
             lease.requests = lease.requests.saturating_sub(1);
         }
     }
 
     /// Where a share of a span comes to lie within the slice of it that is this sidecar's.
-    pub fn come_back(&self, share: f64) -> f64 {
-        self.told.come_back.map_or(share, |[from, to]| (from + (to - from) * share).clamp(0.0, 1.0))
+    pub fn retry_after_fraction(&self, share: f64) -> f64 {
+        self.current.come_back.map_or(share, |[from, to]| (from + (to - from) * share).clamp(0.0, 1.0))
     }
 
     /// The ring of zones that a request is drawn from, where it has one.
-    pub fn ring(&self, held: &Held) -> Option<usize> {
-        self.within.as_ref()?.ring(held.class, held.tenant)
+    pub fn ring(&self, held: &PendingRequest) -> Option<usize> {
+        self.residency.as_ref()?.ring(held.class, held.tenant)
     }
 
     /// Whether a request may go to a zone.
-    pub fn allows(&self, held: &Held, zone: ZoneId) -> bool {
-        self.within.as_ref().is_none_or(|within| within.allows(held.class, held.tenant, zone))
+    pub fn allows(&self, held: &PendingRequest, zone: ZoneId) -> bool {
+        self.residency.as_ref().is_none_or(|within| within.allows(held.class, held.tenant, zone))
     }
 }
 
 impl Residency {
     /// The place of a class's ring; of one that is not there, where nothing was told of the class.
-    fn of_class(&self, class: ClassId) -> Option<usize> {
+    fn ring_of_class(&self, class: ClassId) -> Option<usize> {
         self.classes.get(class.0).copied().unwrap_or(Some(usize::MAX))
     }
 
-    fn of_tenant(&self, tenant: TenantId) -> Option<usize> {
+    fn ring_of_tenant(&self, tenant: TenantId) -> Option<usize> {
         self.tenants.get(tenant.0).copied().flatten()
     }
 
     /// The ring that a request is drawn from.
     fn ring(&self, class: ClassId, tenant: TenantId) -> Option<usize> {
-        self.of_class(class).or(self.of_tenant(tenant))
+        self.ring_of_class(class).or(self.ring_of_tenant(tenant))
     }
 
     /// Whether a request may go to a zone: by its class and by its tenant.
     pub fn allows(&self, class: ClassId, tenant: TenantId, zone: ZoneId) -> bool {
-        let rings = [self.of_class(class), self.of_tenant(tenant)];
+        let rings = [self.ring_of_class(class), self.ring_of_tenant(tenant)];
         rings
             .into_iter()
             .flatten()
--- a/crates/sagemast/src/fleet.rs
+++ b/crates/sagemast/src/fleet.rs
@@ -114,7 +114,7 @@
     pub fn update(&mut self, entry: &Listing, home: ZoneId, safety: &Safety) {
         let id = entry.upstream;
         self.take_out(id);
-        self.servers.entry(id).or_insert_with(|| Upstream::new(entry)).relist(entry);
+        self.servers.entry(id).or_insert_with(|| Upstream::new(entry)).update_listing(entry);
         self.put_in(id, home, safety);
     }
 
@@ -176,13 +176,13 @@
     /// Puts a server into the set that its state asks for.
     pub fn settle(&mut self, id: UpstreamId, safety: &Safety) {
         let Some(server) = self.servers.get_mut(&id) else { return };
-        let Some((side, was)) = server.pooled else { return };
-        let (pool, due) = server.state(self.now, safety);
+        let Some((side, was)) = server.placement else { return };
+        let (pool, due) = server.pool_at(self.now, safety);
         if let Some(at) = due {
             self.due.insert((OrderedFloat(at), id));
         }
         if pool != was {
-            server.pooled = Some((side, pool));
+            server.placement = Some((side, pool));
             let rings = std::iter::once(&mut self.anywhere).chain(&mut self.rings);
             rings.for_each(|ring| ring.shift(id, (side, was), (side, pool)));
         }
@@ -191,13 +191,13 @@
     /// Averages in whether an attempt failed; the server's failure rate after it.
     pub fn count_failure(&mut self, id: UpstreamId, failed: bool, weight: f64) -> f64 {
         let Some(server) = self.servers.get_mut(&id) else { return 0.0 };
-        let was = server.failures;
+        let was = server.failure_rate_ppm;
         let rate = f64::from(was) / 1e6;
-        server.failures = ((rate + weight * (f64::from(u8::from(failed)) - rate)) * 1e6) as u32;
-        if server.pooled.is_some_and(|place| self.anywhere.has(id, place)) {
-            self.failures = self.failures + u64::from(server.failures) - u64::from(was);
+        server.failure_rate_ppm = ((rate + weight * (f64::from(u8::from(failed)) - rate)) * 1e6) as u32;
+        if server.placement.is_some_and(|place| self.anywhere.has(id, place)) {
+            self.failures = self.failures + u64::from(server.failure_rate_ppm) - u64::from(was);
         }
-        f64::from(server.failures) / 1e6
+        f64::from(server.failure_rate_ppm) / 1e6
     }
 
     fn put_in(&mut self, id: UpstreamId, home: ZoneId, safety: &Safety) {
@@ -206,12 +206,12 @@
         if !server.serving {
             return self.forget(id);
         }
-        let (pool, due) = server.state(self.now, safety);
+        let (pool, due) = server.pool_at(self.now, safety);
         let (zone, place) = (server.zone, (usize::from(server.zone != home), pool));
         let ours = self.anywhere.put_in(id, number, zone, place);
-        self.failures += if ours { u64::from(server.failures) } else { 0 };
+        self.failures += if ours { u64::from(server.failure_rate_ppm) } else { 0 };
         if self.rings.iter_mut().fold(ours, |in_one, ring| ring.put_in(id, number, zone, place) | in_one) {
-            server.pooled = Some(place);
+            server.placement = Some(place);
             self.due.extend(due.map(|at| (OrderedFloat(at), id)));
             join(&mut self.zones, zone, id);
             join(&mut self.cells, server.cell, id);
@@ -220,9 +220,9 @@
 
     fn take_out(&mut self, id: UpstreamId) {
         let Some(server) = self.servers.get_mut(&id) else { return };
-        let Some(place) = server.pooled.take() else { return };
+        let Some(place) = server.placement.take() else { return };
         if self.anywhere.take_out(id, place) {
-            self.failures -= u64::from(server.failures);
+            self.failures -= u64::from(server.failure_rate_ppm);
         }
         for ring in &mut self.rings {
             ring.take_out(id, place);
--- a/crates/sagemast/src/fleet/tests.rs
+++ b/crates/sagemast/src/fleet/tests.rs
@@ -58,15 +58,15 @@
 const SEEN: Candidate = Candidate {
     id: UpstreamId(0),
     pool: Pool::Warm,
-    warmth: 1.0,
-    projected: 0.0,
-    used: 1.0,
-    depth: 1.0,
-    shut: false,
-    limit: 1.0,
+    warm_fraction: 1.0,
+    projected_utilisation: 0.0,
+    occupancy: 1.0,
+    queue_depth: 1.0,
+    backing_off: false,
+    limit_fraction: 1.0,
     idle: true,
-    crowding: 1.0,
-    wait: 0.0,
+    expected_slowdown: 1.0,
+    expected_latency: 0.0,
 };
 
 /// Every server looked at anew: who is in which set of a ring, by nothing but the records.
@@ -77,16 +77,16 @@
             && ring.bounds.as_ref().is_none_or(|zones| zones.contains(&server.zone))
     });
     let side = |server: &Upstream| usize::from(server.zone != HOME);
-    serving.map(|(id, server)| (*id, (side(server), server.state(now, &SAFETY).0))).collect()
+    serving.map(|(id, server)| (*id, (side(server), server.pool_at(now, &SAFETY).0))).collect()
 }
 
 fn play(fleet: &mut Fleet, now: &mut Millis, step: &Step) {
-    let outstanding = |request| Outstanding {
+    let outstanding = |request| OutstandingAttempt {
         request: RequestId(request),
         attempt: AttemptNo(0),
         class: ClassId(0),
-        sent: 0.0,
-        to: SEEN,
+        sent_at: 0.0,
+        candidate: SEEN,
     };
     match step {
         Step::List(list) => {
@@ -104,7 +104,7 @@
             fleet.keep_subset(|_| *count, HOME, &SAFETY);
         }
         Step::Eject(id, wait) => {
-            let health = Health::Ejected { until: *now + wait, wait: *wait };
+            let health = Health::Ejected { until: *now + wait, duration: *wait };
             fleet.get_mut(UpstreamId(*id)).into_iter().for_each(|server| server.health = health);
         }
         Step::Heal(id) => {
@@ -160,7 +160,7 @@
                 prop_assert_eq!(drawn(&fleet, place, From::Everyone), all, "ring {:?}", place);
             }
             let scanned = scan(&fleet, &fleet.anywhere, now);
-            let failures = scanned.keys().map(|id| u64::from(fleet.servers[id].failures)).sum::<u64>();
+            let failures = scanned.keys().map(|id| u64::from(fleet.servers[id].failure_rate_ppm)).sum::<u64>();
             prop_assert_eq!(fleet.failures, failures);
             prop_assert!(fleet.servers.values().all(|s| s.serving || !s.outstanding.is_empty()));
             for (id, (side, pool)) in &scanned {
--- a/crates/sagemast/src/lib.rs
+++ b/crates/sagemast/src/lib.rs
@@ -1,17 +1,17 @@
 #![doc = include_str!("../../../README.md")]
 
 pub mod api;
-pub mod brain;
+pub mod balancer;
 mod checkpoint;
-mod exact;
+mod cluster_guidance;
 mod explain;
 mod fleet;
 mod groups;
-mod guided;
-mod reroute;
+mod route_updates;
+mod serde_helpers;
 pub mod settings;
 mod slow_start;
 mod state;
 pub mod view;
 
-pub use brain::Balancer;
+pub use balancer::Balancer;
--- a/crates/sagemast/src/reroute.rs
+++ b/crates/sagemast/src/route_updates.rs
@@ -3,7 +3,7 @@
 use routes::policy::Budget;
 
 use crate::api::*;
-use crate::brain::Balancer;
+use crate::balancer::Balancer;
 
 impl Balancer {
     /// The classes that it has.
@@ -12,29 +12,33 @@
     }
 
     /// Whether a class has requests or sends under way: until they are over they go by what it sets.
-    pub fn uses(&self, class: ClassId) -> bool {
+    pub fn is_class_in_use(&self, class: ClassId) -> bool {
         self.requests.values().any(|held| held.class == class)
-            || self.fleet.each().any(|(_, server)| server.outstanding.iter().any(|out| out.class == class))
+            || self
+                .endpoints
+                .each()
+                .any(|(_, server)| server.outstanding.iter().any(|out| out.class == class))
     }
 
     /// Puts a class in the place of one that is not in use, or behind all others. It begins with what is known of
     /// another: its times, its refusals and what is left of its budgets, as far as its own allow.
-    pub fn put_class(&mut self, id: ClassId, class: Class, known: ClassId) {
-        let mut service = self.seen.service[known.0];
-        service.purse = service.purse.within(self.settings.classes[known.0].budgets(), class.budgets());
+    pub fn set_class(&mut self, id: ClassId, class: Class, known: ClassId) {
+        let mut service = self.estimates.classes[known.0];
+        service.retry_budget =
+            service.retry_budget.within(self.settings.classes[known.0].budgets(), class.budgets());
         self.slow_start.forget_class(id);
         if let Some(place) = self.settings.classes.get_mut(id.0) {
-            (*place, self.seen.service[id.0]) = (class, service);
+            (*place, self.estimates.classes[id.0]) = (class, service);
         } else {
             self.settings.classes.push(class);
-            self.seen.service.push(service);
+            self.estimates.classes.push(service);
         }
     }
 
     /// Sets the budgets of all classes together. What is left of them stays, as far as they allow.
-    pub fn put_budgets(&mut self, retries: Option<Budget>, copies: Option<Budget>) {
+    pub fn set_budgets(&mut self, retries: Option<Budget>, copies: Option<Budget>) {
         let before = self.budgets();
         (self.settings.retry_budget, self.settings.copy_budget) = (retries, copies);
-        self.seen.purse = self.seen.purse.within(before, self.budgets());
+        self.estimates.retry_budget = self.estimates.retry_budget.within(before, self.budgets());
     }
 }
--- a/crates/sagemast/src/exact.rs
+++ b/crates/sagemast/src/serde_helpers.rs
@@ -19,7 +19,7 @@
 }
 
 /// A map as a list of pairs: JSON has no numbers for keys.
-pub(crate) mod pairs {
+pub(crate) mod map_as_pairs {
     use std::collections::BTreeMap;
 
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
--- a/crates/sagemast/src/slow_start.rs
+++ b/crates/sagemast/src/slow_start.rs
@@ -13,9 +13,9 @@
 use serde::{Deserialize, Serialize};
 
 use crate::api::{ClassId, Millis, UpstreamId};
-use crate::brain::Balancer;
+use crate::balancer::Balancer;
 use crate::groups::{From, Pool};
-use crate::state::{Candidate, Held, Upstream};
+use crate::state::{Candidate, PendingRequest, Upstream};
 
 /// The share of a server's allowance that is given out in places: sizes, service times and the number of
 /// sidecars that share a server are estimates, and what places come to spreads by chance.
@@ -158,9 +158,10 @@
     /// Whether a server in slow start may be sent one more: by what the fleet leased of it, else by our places. Any
     /// other server may.
     pub(crate) fn admits(&self, to: &Candidate) -> bool {
-        let by_places =
-            || to.warmth >= 1.0 || self.fleet.get(to.id).is_some_and(|it| self.has_place(to.id, it));
-        self.guided.leased(to, self.now).unwrap_or_else(by_places)
+        let by_places = || {
+            to.warm_fraction >= 1.0 || self.endpoints.get(to.id).is_some_and(|it| self.has_place(to.id, it))
+        };
+        self.guidance.lease_allows(to, self.now).unwrap_or_else(by_places)
     }
 
     /// A pair, in which servers in slow start that have a place for us stand for those that were drawn. Where the first
@@ -170,12 +171,12 @@
         ring: Option<usize>,
         from: From,
         round: usize,
-        held: &Held,
+        held: &PendingRequest,
     ) -> Option<[Option<Candidate>; 3]> {
-        let ids = self.fleet.pair(ring, from, |n| self.rng.rand_range(0..n))?;
-        let [Some(one), Some(other)] = ids.map(|id| self.look(id, held)) else { return None };
+        let ids = self.endpoints.pair(ring, from, |n| self.rng.rand_range(0..n))?;
+        let [Some(one), Some(other)] = ids.map(|id| self.evaluate(id, held)) else { return None };
         let mut drawn = [Some(one), Some(other), None];
-        if !matches!(from, From::Ready | From::Warm) || self.guided.leases() {
+        if !matches!(from, From::Ready | From::Warm) || self.guidance.has_slow_start_leases() {
             return Some(drawn);
         }
         for place in &mut drawn {
@@ -188,13 +189,13 @@
     }
 
     /// The next servers in slow start are looked at for one that has a free place and that the request may go to.
-    fn offer(&mut self, ring: Option<usize>, held: &Held) -> Option<Candidate> {
-        let cold = self.fleet.count(ring, &[Pool::Cold]);
+    fn offer(&mut self, ring: Option<usize>, held: &PendingRequest) -> Option<Candidate> {
+        let cold = self.endpoints.count(ring, &[Pool::Cold]);
         for _ in 0..cold.min(LOOKED_AT) {
             self.slow_start.next = self.slow_start.next.wrapping_add(1);
-            let id = self.fleet.cold(ring, self.slow_start.next % cold)?;
-            let has_place = self.fleet.get(id).is_some_and(|server| self.has_place(id, server));
-            if let Some(to) = has_place.then(|| self.look(id, held)).flatten() {
+            let id = self.endpoints.cold(ring, self.slow_start.next % cold)?;
+            let has_place = self.endpoints.get(id).is_some_and(|server| self.has_place(id, server));
+            if let Some(to) = has_place.then(|| self.evaluate(id, held)).flatten() {
                 return Some(to);
             }
         }
@@ -205,12 +206,15 @@
     /// than it works on at once, since all sidecars have few places there. That others read the same report does no
     /// harm for the same reason, so a queue told of at last counts at once.
     pub(crate) fn others(&self, server: &Upstream) -> (f64, f64) {
-        let warmth = server.warmth(self.now, &self.settings.safety);
+        let warmth = server.warm_fraction(self.now, &self.settings.safety);
         if warmth >= 1.0 {
-            return (self.seen.others, server.others);
+            return (self.estimates.others_in_flight, server.others_in_flight);
         }
         let reported = f64::from(server.last_report[0]) - server.outstanding.len() as f64;
-        (self.seen.others.min(warmth * self.kappa(server)), server.others.max(reported))
+        (
+            self.estimates.others_in_flight.min(warmth * self.capacity(server)),
+            server.others_in_flight.max(reported),
+        )
     }
 
     fn has_place(&self, id: UpstreamId, server: &Upstream) -> bool {
@@ -225,13 +229,16 @@
     /// when the window began.
     fn part(&self, server: &Upstream) -> f64 {
         let safety = &self.settings.safety;
-        let started = server.started.unwrap_or(f64::MIN);
-        let warmth = server.warmth((self.now - safety.fall).max(started), safety);
+        let started = server.started_at.unwrap_or(f64::MIN);
+        let warmth = server.warm_fraction((self.now - safety.fall).max(started), safety);
         let work = self.slow_start.mean_work.max(f64::MIN_POSITIVE);
-        let allowed = safety.fall_multiple * warmth * self.surely(self.kappa(server)) * safety.fall / work;
+        let allowed = safety.fall_multiple * warmth * self.surely(self.capacity(server)) * safety.fall / work;
         // Where requests are bound to zones, a server may stand in other sets than those of the whole subset.
-        let sharers =
-            if self.fleet.rings() > 0 { f64::from(self.settings.sidecars) } else { self.seen.sharers };
+        let sharers = if self.endpoints.rings() > 0 {
+            f64::from(self.settings.sidecars)
+        } else {
+            self.estimates.sidecars_per_server
+        };
         // What an earlier life of this sidecar sent in the last window is not known.
         let began = self.slow_start.began.unwrap_or(self.now);
         let (from, first) = if began > started { (began, 0.0) } else { (started, FIRST_SHARE) };
--- a/crates/sagemast/tests/as_before.rs
+++ b/crates/sagemast/tests/as_before.rs
@@ -129,13 +129,81 @@
     digest.0
 }
 
+/// The stored fields that have been renamed since the digests were taken: the present name and the earlier one.
+const RENAMED: [(&str, &str); 44] = [
+    ("endpoints", "fleet"),
+    ("estimates", "seen"),
+    ("sent_at", "sent"),
+    ("pending", "out"),
+    ("arrived_at", "arrived"),
+    ("attempts", "tries"),
+    ("candidate", "to"),
+    ("service_time", "time"),
+    ("retry_budget", "purse"),
+    ("hedge_delay", "late"),
+    ("report_count", "reports"),
+    ("low_load_reports", "calm"),
+    ("mean_slowness", "pace"),
+    ("answer_count", "answers"),
+    ("classes", "service"),
+    ("all_servers", "fleet"),
+    ("others_in_flight", "others"),
+    ("others_updated_at", "others_at"),
+    ("sidecars_per_server", "sharers"),
+    ("rejection_rate", "refused"),
+    ("probe_budget", "probes"),
+    ("headroom_scale", "room_scale"),
+    ("headroom_updated_at", "room_at"),
+    ("mean_worth_density", "usual_density"),
+    ("first_report_at", "first_at"),
+    ("last_explained_at", "explained_at"),
+    ("duration", "wait"),
+    ("placement", "pooled"),
+    ("started_at", "started"),
+    ("probe_sent_at", "probe_sent"),
+    ("slowness_updated_at", "learnt_at"),
+    ("last_answer_at", "answered_at"),
+    ("failure_rate_ppm", "failures"),
+    ("backoff_until", "shut_until"),
+    ("backoff_duration", "shut_for"),
+    ("limit_fraction", "limit"),
+    ("limit_updated_at", "limited_at"),
+    ("warm_fraction", "warmth"),
+    ("projected_utilisation", "projected"),
+    ("occupancy", "used"),
+    ("queue_depth", "depth"),
+    ("backing_off", "shut"),
+    ("expected_slowdown", "crowding"),
+    ("expected_latency", "wait"),
+];
+
+/// The same values under the field names that the digests were taken with.
+fn with_earlier_names(value: Value) -> Value {
+    match value {
+        Value::Object(fields) => {
+            let count = fields.len();
+            let earlier = |name: String| match RENAMED.iter().find(|(present, _)| *present == name) {
+                Some((_, earlier)) => (*earlier).to_owned(),
+                None => name,
+            };
+            let fields: serde_json::Map<_, _> =
+                fields.into_iter().map(|(name, value)| (earlier(name), with_earlier_names(value))).collect();
+            assert_eq!(fields.len(), count, "two fields of one record have the same earlier name");
+            Value::Object(fields)
+        }
+        Value::Array(values) => Value::Array(values.into_iter().map(with_earlier_names).collect()),
+        value => value,
+    }
+}
+
 /// What is kept, as it stood before a fleet could tell anything, in the order of names: the sets of the one ring lay in
 /// the fleet itself, and there was nothing told to keep.
 fn as_kept_before(mut kept: Value) -> Value {
-    let told = kept.as_object_mut().and_then(|kept| kept.remove("guided"));
+    let told = kept.as_object_mut().and_then(|kept| kept.remove("guidance"));
     assert!(told.is_some(), "what was told is kept");
     // The budget of servers in slow start is kept apart from all else.
     assert!(kept.as_object_mut().and_then(|kept| kept.remove("slow_start")).is_some());
+    let mut kept = with_earlier_names(kept);
     let fleet = kept["fleet"].as_object_mut().unwrap();
     assert_eq!(fleet.remove("rings"), Some(Value::Array(Vec::new())));
     let Some(Value::Object(ring)) = fleet.remove("anywhere") else { panic!("one ring is kept") };
--- a/crates/sagemast/tests/limits.rs
+++ b/crates/sagemast/tests/limits.rs
@@ -7,7 +7,7 @@
 const MOST_LINES: usize = 760;
 /// No line of a policy file is longer, and none of the module that is read first.
 const LONGEST_LINE: usize = 120;
-const LONGEST_LINE_OF_BRAIN: usize = 110;
+const LONGEST_LINE_OF_BALANCER: usize = 110;
 
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
@@ -24,7 +24,7 @@
 #[test]
 fn the_operators_are_told_every_policy_file() {
     let files = policy_files();
-    for name in ["brain", "fleet", "slow_start", "state"] {
+    for name in ["balancer", "fleet", "slow_start", "state"] {
         let file = format!("crates/sagemast/src/{name}.rs");
         assert!(files.contains(&file), "{file} is not among {files:?}");
     }
@@ -39,12 +39,12 @@
         let text = fs::read_to_string(root().join(&file)).expect("it exists");
         let lines = text.lines().count();
         assert!(lines <= MOST_LINES, "{file} has {lines} lines");
-        let longest = if file.ends_with("/brain.rs") { LONGEST_LINE_OF_BRAIN } else { LONGEST_LINE };
+        let longest = if file.ends_with("/balancer.rs") { LONGEST_LINE_OF_BALANCER } else { LONGEST_LINE };
         for (number, line) in text.lines().enumerate() {
             assert!(line.chars().count() <= longest, "line {} of {file} is too long", number + 1);
         }
         assert!(text.starts_with("//!"), "{file} does not say what it is for");
     }
-    let brain = include_str!("../src/brain.rs");
-    assert!(brain.lines().next().is_some_and(|line| line.contains("src/api.rs")));
+    let balancer = include_str!("../src/balancer.rs");
+    assert!(balancer.lines().next().is_some_and(|line| line.contains("src/api.rs")));
 }
--- a/crates/sagemast/tests/routes.rs
+++ b/crates/sagemast/tests/routes.rs
@@ -241,7 +241,7 @@
 /// The policy that the sixth class has from now on, in a place of its own, as the sidecar lays it.
 fn reroute(stage: &mut Stage, policy: Policy) -> ClassId {
     let id = ClassId(stage.balancer.classes().len());
-    stage.balancer.put_class(id, Class { policy, ..class(Effect::Repeatable) }, ROUTED);
+    stage.balancer.set_class(id, Class { policy, ..class(Effect::Repeatable) }, ROUTED);
     id
 }
 
@@ -251,12 +251,12 @@
     let mut stage = stage(Effect::Repeatable, attempts(3));
     let (request, actions) = stage.arrive(ROUTED);
     let to = sent_to(&actions).expect("it is sent");
-    assert!(stage.balancer.uses(ROUTED));
+    assert!(stage.balancer.is_class_in_use(ROUTED));
     let other = reroute(&mut stage, attempts(1));
     let again = stage.finish(request, 0, to, Outcome::Error, 1.0);
     let to = sent_to(&again).expect("it has attempts left by what it began with");
     stage.finish(request, 1, to, Outcome::Ok, 1.0);
-    assert!(!stage.balancer.uses(ROUTED) && !stage.balancer.uses(other));
+    assert!(!stage.balancer.is_class_in_use(ROUTED) && !stage.balancer.is_class_in_use(other));
     let (request, actions) = stage.arrive(other);
     let to = sent_to(&actions).expect("it is sent");
     assert_eq!(
