--- a/crates/concert/src/guidance.rs
+++ b/crates/concert/src/guidance.rs
@@ -2,8 +2,8 @@
 
 use peers::api as fleet;
 use sagemast::api::*;
-use sagemast::brain::COLD_MARGIN;
-use sagemast::view::Known;
+use sagemast::balancer::SLOW_START_LEASE_SHARE;
+use sagemast::view::ServerStatus;
 
 use crate::roster::Roster;
 
@@ -68,17 +68,20 @@
 ///
 /// `work` is how long a mean server takes for the mean request, in milliseconds.
 pub(crate) fn known(
-    server: &Known,
+    server: &ServerStatus,
     key: fleet::ServerKey,
     work: Millis,
     safety: &SlowStartRules,
 ) -> fleet::Known {
-    let requests =
-        COLD_MARGIN * safety.overload_multiple * server.warmth * server.size * safety.overload_window
-            / work.max(1.0);
+    let requests = SLOW_START_LEASE_SHARE
+        * safety.overload_multiple
+        * server.warm_fraction
+        * server.capacity
+        * safety.overload_window
+        / work.max(1.0);
     fleet::Known {
         server: key,
-        started: server.started.map(|started| started.max(0.0) as u64),
+        started: server.started_at.map(|started| started.max(0.0) as u64),
         cold_requests: if requests.is_finite() { requests.max(0.0) } else { 0.0 },
         cold_window: safety.overload_window.max(1.0) as u64,
         ejected: server.ejected,
--- a/crates/sagemast/src/api.rs
+++ b/crates/sagemast/src/api.rs
@@ -317,7 +317,7 @@
     #[serde(default, rename = "trials")]
     pub ejection_probe_targets: Option<BTreeSet<UpstreamId>>,
     /// What it may send cold servers, instead of going by chance; nothing to those that are not named.
-    #[serde(default, rename = "cold", with = "crate::exact::pairs")]
+    #[serde(default, rename = "cold", with = "crate::serde_helpers::map_as_pairs")]
     pub slow_start_leases: Option<BTreeMap<UpstreamId, SlowStartLease>>,
     /// Where in the span that refused clients are asked to stay away theirs lie: from and to, as shares of it.
     #[serde(default, rename = "come_back")]
--- a/crates/sagemast/src/endpoints.rs
+++ b/crates/sagemast/src/endpoints.rs
@@ -120,7 +120,7 @@
     pub fn update(&mut self, entry: &Listing, home: ZoneId, safety: &SlowStartRules) {
         let id = entry.upstream;
         self.remove_from_sets(id);
-        self.servers.entry(id).or_insert_with(|| Upstream::new(entry)).relist(entry);
+        self.servers.entry(id).or_insert_with(|| Upstream::new(entry)).update_listing(entry);
         self.add_to_sets(id, home, safety);
     }
 
@@ -187,13 +187,13 @@
     /// Puts a server into the set that its state asks for.
     pub fn update_pool(&mut self, id: UpstreamId, safety: &SlowStartRules) {
         let Some(server) = self.servers.get_mut(&id) else { return };
-        let Some((side, was)) = server.pooled else { return };
-        let (pool, due) = server.state(self.now, safety);
+        let Some((side, was)) = server.placement else { return };
+        let (pool, due) = server.pool_at(self.now, safety);
         if let Some(at) = due {
             self.pool_changes.insert((OrderedFloat(at), id));
         }
         if pool != was {
-            server.pooled = Some((side, pool));
+            server.placement = Some((side, pool));
             let rings = std::iter::once(&mut self.unrestricted).chain(&mut self.zone_sets);
             rings.for_each(|ring| ring.change_pool(id, (side, was), (side, pool)));
         }
@@ -202,13 +202,14 @@
     /// Averages in whether an attempt failed; the server's failure rate after it.
     pub fn record_outcome(&mut self, id: UpstreamId, failed: bool, weight: f64) -> f64 {
         let Some(server) = self.servers.get_mut(&id) else { return 0.0 };
-        let was = server.failures;
+        let was = server.failure_rate_ppm;
         let rate = f64::from(was) / 1e6;
-        server.failures = ((rate + weight * (f64::from(u8::from(failed)) - rate)) * 1e6) as u32;
-        if server.pooled.is_some_and(|place| self.unrestricted.contains(id, place)) {
-            self.failure_rate_sum = self.failure_rate_sum + u64::from(server.failures) - u64::from(was);
+        server.failure_rate_ppm = ((rate + weight * (f64::from(u8::from(failed)) - rate)) * 1e6) as u32;
+        if server.placement.is_some_and(|place| self.unrestricted.contains(id, place)) {
+            self.failure_rate_sum =
+                self.failure_rate_sum + u64::from(server.failure_rate_ppm) - u64::from(was);
         }
-        f64::from(server.failures) / 1e6
+        f64::from(server.failure_rate_ppm) / 1e6
     }
 
     fn add_to_sets(&mut self, id: UpstreamId, home: ZoneId, safety: &SlowStartRules) {
@@ -217,16 +218,16 @@
         if !server.serving {
             return self.remove_if_unused(id);
         }
-        let (pool, due) = server.state(self.now, safety);
+        let (pool, due) = server.pool_at(self.now, safety);
         let (zone, place) = (server.zone, (usize::from(server.zone != home), pool));
         let ours = self.unrestricted.insert_if_eligible(id, number, zone, place);
-        self.failure_rate_sum += if ours { u64::from(server.failures) } else { 0 };
+        self.failure_rate_sum += if ours { u64::from(server.failure_rate_ppm) } else { 0 };
         if self
             .zone_sets
             .iter_mut()
             .fold(ours, |in_one, ring| ring.insert_if_eligible(id, number, zone, place) | in_one)
         {
-            server.pooled = Some(place);
+            server.placement = Some(place);
             self.pool_changes.extend(due.map(|at| (OrderedFloat(at), id)));
             add_to_group(&mut self.zones, zone, id);
             add_to_group(&mut self.cells, server.cell, id);
@@ -235,9 +236,9 @@
 
     fn remove_from_sets(&mut self, id: UpstreamId) {
         let Some(server) = self.servers.get_mut(&id) else { return };
-        let Some(place) = server.pooled.take() else { return };
+        let Some(place) = server.placement.take() else { return };
         if self.unrestricted.remove(id, place) {
-            self.failure_rate_sum -= u64::from(server.failures);
+            self.failure_rate_sum -= u64::from(server.failure_rate_ppm);
         }
         for ring in &mut self.zone_sets {
             ring.remove(id, place);
--- a/crates/sagemast/src/lib.rs
+++ b/crates/sagemast/src/lib.rs
@@ -1,17 +1,17 @@
-#![doc = include_str!("../../../README.md")]
+#! [ doc = include_str ! ( "../../../README.md" ) ]
 
 pub mod api;
-pub mod brain;
+pub mod balancer;
 mod checkpoint;
+mod cluster_guidance;
 mod endpoints;
-mod exact;
 mod explain;
 mod groups;
-mod guided;
-mod reroute;
+mod route_updates;
+mod serde_helpers;
 pub mod settings;
 mod slow_start;
 mod state;
 pub mod view;
 
-pub use brain::Balancer;
+pub use balancer::Balancer;
