--- a/crates/sagemast/src/api.rs
+++ b/crates/sagemast/src/api.rs
@@ -1,8 +1,8 @@
-//! The interface of the decision module: settings, events in, actions out.
+//! The interface of the decision module: its settings, the events it takes in and the actions it returns.
 //!
-//! Times are milliseconds on the caller's own clock, which only moves forward. The module never
-//! reads a clock and does no I/O: the sidecar turns what happens into [`Event`]s and carries out
-//! the [`Action`]s that come back.
+//! Times are in milliseconds on the caller's clock, which never goes backwards. The module never reads a
+//! clock and does no I/O. The sidecar turns what happens into [`Event`]s and carries out the [`Action`]s
+//! that the module returns.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,18 +11,18 @@
 use routes::units::Share;
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds: a point on the caller's clock, or a span.
+/// A point in time on the caller's clock or a duration, in milliseconds.
 pub type Millis = f64;
 
-/// One try of a client, as it entered this sidecar.
+/// One request as it reached this sidecar. A client's retry is a new request with an id of its own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestId(pub u64);
 
-/// A server that requests can be sent to. The same id means the same server across restarts.
+/// A server that requests can be sent to. A server keeps its id across restarts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct UpstreamId(pub u64);
 
-/// The number of a send of one request: 0 for the first, 1 for the next.
+/// The number of an attempt within its request: 0 for the first attempt, 1 for the next one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptNo(pub u32);
 
@@ -30,157 +30,163 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClassId(pub usize);
 
-/// Index of a tenant in [`Settings::tenants`]; ignored where there are none.
+/// Index of a tenant in [`Settings::tenants`]. Ignored where no tenants are configured.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TenantId(pub usize);
 
-/// A place whose members reach each other cheaply.
+/// An availability zone. Traffic within a zone is cheaper than traffic between zones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct ZoneId(pub u64);
 
-/// A small set of servers inside one zone that share their memory of keys.
+/// A small group of servers within one zone that share their record of idempotency keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CellId(pub u64);
 
-/// A kind of machine, as discovery lists it: servers of one kind are taken to be alike until heard from.
+/// A kind of machine, as discovery lists it. Servers of one kind are assumed to perform alike until their
+/// own reports and answers say otherwise.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct KindId(pub u64);
 
-/// Which servers discard repeats of a keyed request.
+/// Which servers recognise and discard a repeated request by its idempotency key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DedupScope {
     /// Every server.
     All,
-    /// The servers of the zone that may have run it.
+    /// The servers in the zone where the first execution may have taken place.
     Zone,
-    /// The servers of the cell that may have run it.
+    /// The servers in the cell where the first execution may have taken place.
     Cell,
 }
 
-/// What running a request twice would do.
+/// Whether executing a request twice does harm.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Idempotency {
-    /// No harm.
+    /// The request is idempotent: executing it again does no harm.
     Idempotent,
-    /// No harm within the scope and for the window counted from the first send that may have run.
+    /// The request carries an idempotency key. Executing it again does no harm on the servers in `scope`,
+    /// until `window` has passed since the first attempt that may have been executed.
     ByKey {
-        /// Who discards repeats.
+        /// The servers that discard a repeat.
         scope: DedupScope,
-        /// For how long.
+        /// How long they remember the key.
         window: Millis,
     },
-    /// Must never run twice.
+    /// The request is not idempotent: it must never be executed twice.
     NotIdempotent,
 }
 
-/// A class of requests.
+/// The settings of a class of requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// Answers within this time earn the full worth.
+    /// An answer within this time earns the full priority weight.
     pub latency_objective: Millis,
-    /// What an answer in time is worth.
+    /// What an answer within the latency objective is worth.
     pub priority_weight: f64,
-    /// The share of the worth that a later answer still earns.
+    /// The fraction of the priority weight that an answer after the latency objective still earns.
     pub late_weight: f64,
-    /// Whether it may run again.
+    /// Whether a request of this class may be executed more than once.
     pub idempotency: Idempotency,
-    /// What its route sets beyond that; the module decides all that it leaves out.
+    /// The policy of the route that this class belongs to. The module decides everything that the policy
+    /// leaves open.
     pub policy: Policy,
 }
 
 impl Class {
-    /// How many retries and second copies its requests may have.
+    /// The retry budget and the hedge budget of this class.
     pub fn budgets(&self) -> Budgets {
         [self.policy.retry_budget, self.policy.second_copy.map(|copy| copy.budget)]
     }
 }
 
-/// A customer with a share of the service.
+/// A tenant: a customer with a quota of the service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tenant {
-    /// Requests a second within its share, summed over all sidecars.
+    /// The tenant's quota in requests per second, summed over all sidecars.
     pub quota_per_s: f64,
 }
 
-/// What the caller's surroundings allow.
+/// What the platform allows the sidecar to do.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Limits {
-    /// Sends of one request, at most.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Whether two attempts of one request may be out at the same time.
+    /// Whether two attempts of one request may be in flight at the same time, as hedging needs.
     pub concurrent_attempts: bool,
-    /// Whether probes may be sent.
+    /// Whether servers may be polled for their load.
     pub load_polls: bool,
-    /// Whether attempts may be cancelled.
+    /// Whether attempts in flight may be cancelled.
     pub cancel: bool,
-    /// The longest wait that clients heed when refused; 0 where they heed none.
+    /// The longest `Retry-After` that clients honour when they are refused. 0 if they honour none.
     pub max_retry_after: Millis,
-    /// The shortest time between two rounds of events.
+    /// The shortest time between two batches of events.
     pub tick: Millis,
 }
 
-/// The figures of the two rules about servers that leave or have just started.
+/// The platform's two rules about servers that have started recently: how fast their capacity grows, and
+/// how much load makes them fail.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct SlowStartRules {
-    /// A server starts with at least this share of its capacity.
+    /// The fraction of its full capacity that a server has when it starts.
     pub initial_share: f64,
-    /// And has all of it after this long.
+    /// The time after its start at which a server has its full capacity.
     pub warm_up: Millis,
-    /// Sent more than this multiple of its present capacity...
+    /// A server that is still warming up fails if it is sent more than this multiple of its current
+    /// capacity...
     pub overload_multiple: f64,
-    /// ...for this long, a cold server falls over.
+    /// ...for this long.
     pub overload_window: Millis,
 }
 
-/// What the module is told at start. It never learns names.
+/// The settings that the module is created with. They refer to classes, tenants and zones by number only.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Settings {
-    /// Request classes, by [`ClassId`].
+    /// Request classes, indexed by [`ClassId`].
     pub classes: Vec<Class>,
-    /// Tenants, by [`TenantId`]; may be empty.
+    /// Tenants, indexed by [`TenantId`]. May be empty.
     pub tenants: Vec<Tenant>,
-    /// The share of its worth that a request above its tenant's quota keeps.
+    /// The fraction of its priority weight that a request above its tenant's quota keeps.
     pub over_quota_weight: f64,
     /// The zone of this sidecar.
     pub zone: ZoneId,
-    /// How many sidecars there are, this one included.
+    /// The number of sidecars, this one included.
     pub sidecars: u32,
-    /// What one zone crossing costs, as a fraction of a mean request's worth.
+    /// The cost of sending a request to another zone, as a fraction of a mean request's priority weight.
     pub cross_zone_cost: f64,
-    /// What one probe costs, likewise.
+    /// The cost of one load poll, as a fraction of a mean request's priority weight.
     pub load_poll_cost: f64,
-    /// Allowances.
+    /// What the sidecar may do.
     pub limits: Limits,
-    /// Rule figures.
+    /// The rules for servers that have started recently.
     pub slow_start: SlowStartRules,
-    /// Whether listed weights are sizes: how many requests a server works on at once, give or take.
+    /// Whether the weights in the server list are capacities: roughly how many requests a server works on
+    /// concurrently.
     pub weights_are_capacities: bool,
-    /// Whether a class's worth is that of a unit of work and not of a request.
+    /// Whether a class's priority weight counts per unit of work instead of per request.
     pub weight_per_work: bool,
-    /// How many retries there may be over all classes; [`DEFAULT_RETRY_BUDGET`] where nothing is said.
+    /// The retry budget of all classes together. Without one, [`DEFAULT_RETRY_BUDGET`] applies.
     pub retry_budget: Option<Budget>,
-    /// How many second copies; where nothing is said, as many as those of the classes come to.
+    /// The hedge budget of all classes together. Without one, only the budgets of the classes apply.
     pub hedge_budget: Option<Budget>,
 }
 
-/// Further attempts that all requests may have together, where the operators say nothing: a share of first ones, and
-/// so many saved up.
+/// The retry budget of all classes together where the operators set none: a fraction of the first attempts,
+/// and the number of retries that can be saved up.
 pub const DEFAULT_RETRY_BUDGET: Budget = Budget { share: Share(0.1), burst: 10 };
 
 impl Settings {
-    /// How many retries and second copies all requests may have together.
+    /// The retry budget and the hedge budget of all classes together.
     pub fn budgets(&self) -> Budgets {
         [Some(self.retry_budget.unwrap_or(DEFAULT_RETRY_BUDGET)), self.hedge_budget]
     }
 }
 
-/// Whether a server takes new work.
+/// Whether a server accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Lifecycle {
-    /// It does.
+    /// The server accepts new requests.
     Serving,
-    /// It finishes what it has, or is gone: nothing new goes there.
+    /// The server finishes its requests in flight, or is already gone. It gets no new requests.
     #[serde(rename = "leaving")]
     Draining,
 }
@@ -188,47 +194,47 @@
 /// A server as discovery lists it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Listing {
-    /// Its id.
+    /// The server's id.
     pub upstream: UpstreamId,
-    /// Its zone.
+    /// The server's zone.
     pub zone: ZoneId,
-    /// Its cell.
+    /// The server's cell.
     pub cell: CellId,
-    /// What kind of machine it is.
+    /// The kind of machine that the server runs on.
     pub kind: KindId,
-    /// Whether it takes new work.
+    /// Whether the server accepts new requests.
     pub lifecycle: Lifecycle,
-    /// Its size compared with others; 1 where nothing is known.
+    /// The server's capacity relative to others, or 1 if discovery does not know it.
     pub weight: f64,
-    /// When it last started, where that is not long ago.
+    /// When the server last started, if that was recent.
     pub started: Option<Millis>,
 }
 
-/// News from discovery.
+/// An update of the server list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListUpdate {
-    /// The complete list as last held before a restart; may be old.
+    /// The complete list as cached before a restart of the sidecar. It may be outdated.
     Restored(Vec<Listing>),
-    /// The complete list; who is missing is gone.
+    /// The complete list. A server that is missing from it is gone.
     Complete(Vec<Listing>),
-    /// Only what changed.
+    /// Only the servers whose entries have changed.
     Changed(Vec<Listing>),
 }
 
-/// A server's own report of its load. Any figure may be missing or absurd.
+/// A server's report of its own load. Any metric can be missing or have an implausible value.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests it holds.
+    /// The number of requests in flight at the server.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub in_flight: Option<f64>,
-    /// How busy its cores are, 0 to 1.
+    /// The utilisation of the server's cores, from 0 to 1.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub utilisation: Option<f64>,
-    /// Requests served a second.
+    /// Requests served per second.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub served_per_s: Option<f64>,
-    /// Errors a second.
+    /// Errors per second.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub errors_per_s: Option<f64>,
 }
@@ -237,28 +243,30 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// Served.
+    /// The server answered the request successfully.
     Ok,
-    /// An error answer; it may have run.
+    /// The server answered with an error. The request may have been executed.
     Error,
-    /// Turned away unseen; it never ran.
+    /// The server was full and rejected the request without looking at it. It was not executed.
     Full,
-    /// No answer in time; it may have run or may yet.
+    /// No answer arrived in time. The request may have been executed, or may still be.
     TimedOut,
-    /// No connection; it never ran.
+    /// The server could not be reached. The request was not executed.
     Unreachable,
-    /// The connection broke; it may have run.
+    /// The connection broke. The request may have been executed.
     Reset,
-    /// Cancelled; it may have run.
+    /// The sidecar cancelled the attempt. The request may have been executed.
     Cancelled,
-    /// Never left this sidecar.
+    /// The attempt never left this sidecar.
     NotSent,
-    /// No connection could be opened, for a reason of this machine's: it never ran, and says nothing of the server.
+    /// This machine could not open a connection, for a reason of its own. The request was not executed, and
+    /// the outcome says nothing about the server.
     LocalFailure,
 }
 
 impl Outcome {
-    /// What a route's policy calls it; nothing where the send did not fail by the server or the network.
+    /// The name of this outcome in a route's policy. `None` if neither the server nor the network made the
+    /// attempt fail.
     pub fn failure(self) -> Option<Failure> {
         match self {
             Outcome::Full => Some(Failure::Full),
@@ -270,7 +278,7 @@
         }
     }
 
-    /// Whether the attempt may have taken effect.
+    /// Whether the server may have executed the request.
     pub fn may_have_run(self) -> bool {
         !matches!(self, Outcome::Full | Outcome::Unreachable | Outcome::NotSent | Outcome::LocalFailure)
     }
@@ -281,55 +289,62 @@
 pub struct Finished {
     /// The request.
     pub request: RequestId,
-    /// Which of its sends.
+    /// The number of the attempt.
     pub attempt: AttemptNo,
-    /// Where it went.
+    /// The server that the attempt was sent to.
     pub upstream: UpstreamId,
-    /// How it ended.
+    /// The outcome of the attempt.
     pub outcome: Outcome,
-    /// Time since the send.
+    /// The time since the attempt was sent.
     pub latency: Millis,
-    /// Whether the client has its final answer.
+    /// Whether the request already has its final answer.
     #[serde(rename = "closed")]
     pub request_closed: bool,
-    /// A report that came with it.
+    /// The load report in the server's answer, if there was one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub report: Option<LoadReport>,
 }
 
-/// What the sidecars of a fleet agreed on. What is absent leaves the module to itself. A checkpoint holds it in a form
-/// that knows fields by their places: none may be left out.
+/// Directives that the sidecars of a cluster agreed on. Where a directive is absent, the module decides by
+/// itself.
+///
+/// A checkpoint stores this struct in a format that identifies fields by position. No field may be left out
+/// when it is serialised.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Guidance {
-    /// By [`ClassId`], the chance that an arrival may be sent at all; a class without one always may.
+    /// The admission probability of each class, indexed by [`ClassId`]. A class without an entry is always
+    /// admitted.
     #[serde(default, rename = "admit")]
     pub admit_probability: Vec<f64>,
-    /// Retries that all classes together may make, in place of what the settings say.
+    /// The retry budget of all classes together. Replaces the one in the settings.
     #[serde(default, rename = "retries")]
     pub retry_budget: Option<Allowance>,
-    /// Second copies, likewise.
+    /// The hedge budget of all classes together. Replaces the one in the settings.
     #[serde(default, rename = "copies")]
     pub hedge_budget: Option<Allowance>,
-    /// Servers whose load this sidecar asks for, and no others.
+    /// The servers that this sidecar polls for their load. It polls no others.
     #[serde(default, rename = "probes")]
     pub load_poll_targets: Option<BTreeSet<UpstreamId>>,
-    /// Ejected servers that this sidecar tries again, and no others.
+    /// The ejected servers that this sidecar sends ejection probes to. It probes no others.
     #[serde(default, rename = "trials")]
     pub ejection_probe_targets: Option<BTreeSet<UpstreamId>>,
-    /// What it may send cold servers, instead of going by chance; nothing to those that are not named.
+    /// How many requests this sidecar may send to each server in slow start, in place of its own random
+    /// allocation. Servers without a lease get none.
     #[serde(default, rename = "cold", with = "crate::exact::pairs")]
     pub slow_start_leases: Option<BTreeMap<UpstreamId, SlowStartLease>>,
-    /// Where in the span that refused clients are asked to stay away theirs lie: from and to, as shares of it.
+    /// The slice of the `Retry-After` range that this sidecar uses for refused clients: its start and end,
+    /// as fractions of the range.
     #[serde(default, rename = "come_back")]
     pub retry_after_slice: Option<[f64; 2]>,
 }
 
-/// Further sends, as a share of first ones, and so many saved up.
+/// A budget for retries or hedged requests: a fraction of the first attempts, with a limit on what can be
+/// saved up.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Allowance {
-    /// The share.
+    /// The budget as a fraction of the first attempts.
     pub share: f64,
-    /// What may be saved up.
+    /// The number of attempts that can be saved up.
     pub burst: u32,
 }
 
@@ -339,26 +354,29 @@
     }
 }
 
-/// What one sidecar may send a cold server.
+/// Permission for one sidecar to send a limited number of requests to a server in slow start.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct SlowStartLease {
-    /// So many whole requests. One lease is told again as it was given: what was sent of it stays sent while its end
-    /// is the same.
+    /// The number of requests. Later guidance may repeat a lease with its original number. As long as its
+    /// end is unchanged, requests already sent under the lease stay deducted.
     pub requests: u32,
-    /// Until then, on the caller's clock.
+    /// When the lease ends, on the caller's clock.
     pub until: Millis,
 }
 
-/// Where requests may go: each to the zones of its class's ring and of its tenant's, where they have one.
+/// Data residency: the zones that requests may go to. A request is restricted by the zone set of its class
+/// and by the zone set of its tenant, where these have one.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Residency {
-    /// The zones of each ring; one without zones lets nothing through.
+    /// The zone sets. An empty set allows no zone at all.
     #[serde(rename = "rings")]
     pub zone_sets: Vec<BTreeSet<ZoneId>>,
-    /// By [`ClassId`], the place of its ring; `None` where it may go anywhere. A class past the end, or a ring
-    /// that is not there, may go nowhere: it is new, and its rules have not been told yet.
+    /// The index of each class's zone set, indexed by [`ClassId`]. `None` means that the class may go
+    /// anywhere. A class past the end of this list, or with an index past the end of `zone_sets`, may go
+    /// nowhere: the class is new, and its rules have not arrived yet.
     pub classes: Vec<Option<usize>>,
-    /// By [`TenantId`], likewise; a tenant past the end may go anywhere.
+    /// The index of each tenant's zone set, indexed by [`TenantId`]. A tenant past the end of this list may
+    /// go anywhere.
     pub tenants: Vec<Option<usize>>,
 }
 
@@ -366,85 +384,85 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// No server had room for it.
+    /// No server had capacity for the request.
     #[default]
     Overload,
-    /// No server serves in the zones that it may go to.
+    /// No server is serving in the zones that the request may go to.
     Residency,
-    /// The fleet sheds its class.
+    /// The cluster sheds requests of this class.
     Shed,
 }
 
 impl Reason {
-    /// Whether it is the usual one, which needs no word.
+    /// Whether the reason is overload, the default, which is not written out.
     pub fn is_overload(&self) -> bool {
         *self == Reason::Overload
     }
 }
 
-/// Something that happened. Events at one time are handed over in order.
+/// Something that happened. Events with the same time are passed in the order in which they happened.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Event {
-    /// A client's try came in and is owed one final answer.
+    /// A request arrived from a client. The client must get one final answer.
     Arrived {
-        /// Its id, never used again.
+        /// The id of the request. Ids are never reused.
         request: RequestId,
-        /// Its class.
+        /// The class of the request.
         class: ClassId,
-        /// Its tenant.
+        /// The tenant of the request.
         tenant: TenantId,
-        /// How long the client waits.
+        /// How long the client will wait for the answer.
         time_left: Millis,
-        /// Whether the client says that it tries again.
+        /// Whether the client marked the request as a retry.
         #[serde(default, rename = "repeat")]
         is_retry: bool,
     },
-    /// An attempt ended; each [`Action::Send`] gets this once.
+    /// An attempt ended. Each [`Action::Send`] gets this event exactly once.
     Finished(Finished),
-    /// The client left; nothing more is owed.
+    /// The client closed its request. It needs no answer any more.
     Abandoned(RequestId),
-    /// A probe came back.
+    /// A load poll ended.
     #[serde(rename = "probed")]
     LoadPolled {
-        /// Who was asked.
+        /// The server that was polled.
         upstream: UpstreamId,
-        /// Whether it answered.
+        /// Whether the server answered.
         answered: bool,
-        /// Its report.
+        /// The server's load report, if the answer held one.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         report: Option<LoadReport>,
     },
-    /// News from discovery.
+    /// Discovery updated the server list.
     Listed(ListUpdate),
-    /// A timer set with [`Action::WakeAt`] came due.
+    /// A timer set with [`Action::WakeAt`] expired. Carries the timer's token.
     Woke(u64),
-    /// What the fleet agreed on, in place of what it said before.
+    /// The cluster agreed on new directives. They replace the previous ones.
     Guided(Box<Guidance>),
-    /// A server told another sidecar its load.
+    /// Another sidecar passed on a load report that a server gave it.
     Reported {
-        /// Whose load it is.
+        /// The server that the report is about.
         upstream: UpstreamId,
-        /// Its report.
+        /// The server's load report.
         report: LoadReport,
-        /// How long ago it was.
+        /// The age of the report.
         age: Millis,
     },
-    /// Another sidecar's trial of an ejected server ended.
+    /// Another sidecar's ejection probe of a server ended.
     #[serde(rename = "tried")]
     EjectionProbeEnded {
-        /// The server.
+        /// The server that was probed.
         upstream: UpstreamId,
-        /// Whether it is back.
+        /// Whether the server has recovered.
         #[serde(rename = "well")]
         recovered: bool,
     },
-    /// Where requests may go from now on.
+    /// The rules about where requests may go changed.
     #[serde(rename = "within")]
     ResidencyChanged(Residency),
 }
 
-/// Something for the sidecar to do now, in order.
+/// An action for the sidecar to carry out. Actions are carried out at once, in the order of the list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
@@ -452,45 +470,45 @@
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The server to send it to.
         upstream: UpstreamId,
-        /// Give the attempt up after this long.
+        /// The time after which the attempt has failed.
         timeout: Millis,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt that is in flight.
     Cancel {
         /// The request.
         request: RequestId,
-        /// Which of its sends.
+        /// The number of the attempt.
         attempt: AttemptNo,
     },
-    /// Final answer: not done, trying again is harmless.
+    /// Answer that the request was not executed, so that the client can safely try again.
     Refuse {
         /// The request.
         request: RequestId,
-        /// How long the client should stay away.
+        /// How long the client should wait before it tries again.
         retry_after: Millis,
-        /// Why.
+        /// Why the request is refused.
         #[serde(default, skip_serializing_if = "Reason::is_overload")]
         reason: Reason,
     },
-    /// Final answer: failed, with no promise about effects.
+    /// Answer that the request failed. It may have been executed.
     Fail(RequestId),
-    /// Ask a server for its load.
+    /// Poll a server for its load.
     #[serde(rename = "probe")]
     PollLoad(UpstreamId),
-    /// Hand back [`Event::Woke`] with this token at this time or soon after.
+    /// Set a timer. The sidecar passes in [`Event::Woke`] with the token at this time or shortly after.
     WakeAt {
-        /// When.
+        /// When the timer expires.
         at: Millis,
-        /// What to hand back.
+        /// The token to pass back.
         token: u64,
     },
-    /// A line for the operators.
+    /// Write a line to the log.
     Log {
-        /// The request that it is about, if it is about one.
+        /// The request that the line is about, if there is one.
         about: Option<RequestId>,
-        /// The line.
+        /// The text of the line.
         text: String,
     },
 }
--- a/crates/sagemast/src/settings.rs
+++ b/crates/sagemast/src/settings.rs
@@ -1,5 +1,7 @@
-//! Reads the settings object and load reports. The simulator's first message and the sidecar's configuration
-//! hold the same object, so both programs read it here.
+//! Parses and validates the platform's settings object, and parses load reports.
+//!
+//! The first message of the simulator and the configuration file of the sidecar hold the same settings
+//! object, so both programs parse it here.
 
 use std::collections::HashMap;
 use std::error::Error;
@@ -10,7 +12,7 @@
 
 use crate::api::*;
 
-/// The settings object as it stands on the wire. Keys that are not listed here are passed over.
+/// The settings object in its external form. Field names are its keys; unknown keys are ignored.
 #[derive(Deserialize)]
 pub struct PlatformSettings {
     classes: Vec<WireClass>,
@@ -39,6 +41,7 @@
     telemetry: Telemetry,
 }
 
+/// A request class in the settings object.
 #[derive(Deserialize)]
 struct WireClass {
     #[serde(default)]
@@ -56,6 +59,7 @@
     window: f64,
 }
 
+/// The values of `effect`: whether a request of the class may be executed more than once.
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum WireEffect {
@@ -64,6 +68,7 @@
     Once,
 }
 
+/// The values of `dedup_scope`: the servers that discard a repeated request by its idempotency key.
 #[derive(Deserialize, Default, Clone, Copy)]
 #[serde(rename_all = "snake_case")]
 enum WireScope {
@@ -73,6 +78,7 @@
     Cell,
 }
 
+/// A tenant in the settings object.
 #[derive(Deserialize)]
 struct WireTenant {
     #[serde(default)]
@@ -81,6 +87,7 @@
     quota_per_s: f64,
 }
 
+/// What the platform allows sidecars to do.
 #[derive(Deserialize)]
 struct Allowed {
     max_attempts: u32,
@@ -110,6 +117,7 @@
     250.0
 }
 
+/// The platform's rules about slow start and about polling discovery.
 #[derive(Deserialize)]
 struct Invariants {
     cold_share: f64,
@@ -120,6 +128,7 @@
     must_ask_in: f64,
 }
 
+/// How discovery delivers its updates: it pushes them, or sidecars poll for them.
 #[derive(Deserialize, Clone, Copy, PartialEq)]
 #[serde(rename_all = "snake_case")]
 enum Membership {
@@ -127,6 +136,7 @@
     Subscribe,
 }
 
+/// How servers report their load.
 #[derive(Deserialize)]
 struct Telemetry {
     #[serde(default)]
@@ -136,7 +146,7 @@
 }
 
 impl PlatformSettings {
-    /// The settings in the module's terms.
+    /// Converts the settings object to the decision module's settings.
     pub fn settings(&self) -> Settings {
         Settings {
             classes: self.classes.iter().map(WireClass::class).collect(),
@@ -144,8 +154,8 @@
             over_quota_weight: self.over_share_worth,
             zone: ZoneId(self.zone),
             sidecars: self.peers_total,
-            cross_zone_cost: self.fee("cross_zone"),
-            load_poll_cost: self.fee("probe"),
+            cross_zone_cost: self.cost("cross_zone"),
+            load_poll_cost: self.cost("probe"),
             limits: Limits {
                 max_attempts: self.allowed.max_attempts,
                 concurrent_attempts: self.allowed.may_duplicate,
@@ -167,119 +177,122 @@
         }
     }
 
-    /// The time in milliseconds in which discovery must be asked; `None` where news of servers come by themselves.
+    /// The longest allowed time between two polls of discovery. `None` if discovery pushes its updates.
     pub fn discovery_poll_interval(&self) -> Option<Millis> {
-        let asked = self.membership_mode == Membership::Subscribe;
-        asked.then_some(self.invariants.must_ask_in).filter(|within| within.is_finite())
+        let must_poll = self.membership_mode == Membership::Subscribe;
+        must_poll.then_some(self.invariants.must_ask_in).filter(|interval| interval.is_finite())
     }
 
-    /// Whether sidecars may send each other messages. Like every other allowance, one that is not given is not there.
+    /// Whether sidecars may send messages to each other. As with every other permission, the default is no.
     pub fn peers_allowed(&self) -> bool {
         self.allowed.peers
     }
 
-    /// What one of these costs, as a share of a request's worth; nothing where the platform names no price.
-    fn fee(&self, name: &str) -> f64 {
-        self.fees.get(name).copied().filter(|fee| fee.is_finite() && *fee > 0.0).unwrap_or(0.0)
+    /// The cost of an operation, as a fraction of a request's priority weight. 0 if the platform sets none.
+    fn cost(&self, name: &str) -> f64 {
+        self.fees.get(name).copied().filter(|cost| cost.is_finite() && *cost > 0.0).unwrap_or(0.0)
     }
 
-    /// Tells the first field that no sidecar could work with; the simulator's own settings always pass.
+    /// Returns an error for the first field whose value no sidecar can work with. The settings that the
+    /// simulator sends always pass.
     pub fn validate(&self) -> Result<(), InvalidSetting> {
         if self.classes.is_empty() {
-            return Err(InvalidSetting::new("classes", "there are none"));
+            return Err(InvalidSetting::new("classes", "must not be empty"));
         }
-        for (place, class) in self.classes.iter().enumerate() {
-            class.check(&format!("classes[{place}]"))?;
+        for (index, class) in self.classes.iter().enumerate() {
+            class.validate(&format!("classes[{index}]"))?;
         }
-        for (place, tenant) in self.tenants.iter().enumerate() {
-            not_negative(&format!("tenants[{place}].quota_per_s"), tenant.quota_per_s)?;
+        for (index, tenant) in self.tenants.iter().enumerate() {
+            check_not_negative(&format!("tenants[{index}].quota_per_s"), tenant.quota_per_s)?;
         }
-        all_different("classes", ".name", self.class_names())?;
-        all_different("tenants", ".name", self.tenants.iter().map(|tenant| tenant.name.as_str()))?;
-        all_different("azs", "", self.azs.iter().map(String::as_str))?;
-        all_different("kinds", "", self.kinds.iter().map(String::as_str))?;
-        not_negative("over_share_worth", self.over_share_worth)?;
-        not_negative("period", self.period)?;
-        self.allowed.check()?;
-        self.invariants.check()?;
+        check_unique("classes", ".name", self.class_names())?;
+        check_unique("tenants", ".name", self.tenants.iter().map(|tenant| tenant.name.as_str()))?;
+        check_unique("azs", "", self.azs.iter().map(String::as_str))?;
+        check_unique("kinds", "", self.kinds.iter().map(String::as_str))?;
+        check_not_negative("over_share_worth", self.over_share_worth)?;
+        check_not_negative("period", self.period)?;
+        self.allowed.validate()?;
+        self.invariants.validate()?;
         if self.membership_mode == Membership::Subscribe {
-            positive("invariants.must_ask_in", self.invariants.must_ask_in)?;
+            check_positive("invariants.must_ask_in", self.invariants.must_ask_in)?;
         }
         Ok(())
     }
 
-    /// Names and effects of the classes, by class id.
+    /// The name and idempotency of each class, in the order of class ids.
     pub fn classes(&self) -> Vec<(String, Idempotency)> {
         self.classes.iter().map(|class| (class.name.clone(), class.class().idempotency)).collect()
     }
 
-    /// Names of the classes, by class id.
+    /// The names of the classes, in the order of class ids.
     pub fn class_names(&self) -> impl Iterator<Item = &str> {
         self.classes.iter().map(|class| class.name.as_str())
     }
 
-    /// Names of the tenants, by tenant id.
+    /// The names of the tenants, in the order of tenant ids.
     pub fn tenant_names(&self) -> Vec<String> {
         self.tenants.iter().map(|tenant| tenant.name.clone()).collect()
     }
 
-    /// Names of the zones that the settings name, by their numbers.
+    /// The names of the zones that the settings list, in the order of zone numbers.
     pub fn zone_names(&self) -> &[String] {
         &self.azs
     }
 
-    /// The number of a zone. One that the settings do not name gets a number that no other has.
+    /// The number of a zone. A zone that the settings do not list gets a number that no listed zone has.
     pub fn zone_number(&self, name: &str) -> u64 {
         number_of_name(&self.azs, name)
     }
 
-    /// The number of a kind of machine, likewise.
+    /// The number of a kind of machine. A kind that the settings do not list gets a number that no listed
+    /// kind has.
     pub fn kind_number(&self, name: &str) -> u64 {
         number_of_name(&self.kinds, name)
     }
 
-    /// How long clients of each class wait, by class id.
+    /// The total time that clients of each class wait for an answer, in the order of class ids.
     pub fn client_deadlines_ms(&self) -> impl Iterator<Item = Millis> {
         self.classes.iter().map(|class| class.hard_limit)
     }
 
-    /// The longest that any client waits, over all its tries.
+    /// The longest time that any client waits for an answer, over all its attempts.
     pub fn longest_deadline_ms(&self) -> Millis {
         self.classes.iter().map(|class| class.hard_limit).fold(0.0, f64::max)
     }
 
-    /// The shortest time that any client waits, over all its tries. 0 where there is no class.
+    /// The shortest time that any client waits for an answer, over all its attempts. 0 if there are no
+    /// classes.
     pub fn shortest_deadline_ms(&self) -> Millis {
         self.classes.iter().map(|class| class.hard_limit).reduce(f64::min).unwrap_or(0.0)
     }
 
-    /// After this long without use connections are closed.
+    /// The time after which an idle connection is closed.
     pub fn keepalive_ms(&self) -> Millis {
         self.allowed.keepalive
     }
 
-    /// A connection that has not come up by then has failed.
+    /// The time in which a connection must be established.
     pub fn connect_timeout_ms(&self) -> Millis {
         self.allowed.connect_timeout
     }
 
-    /// Whether answers to requests hold load reports.
+    /// Whether servers send load reports along with their answers to requests.
     pub fn reports_in_answers(&self) -> bool {
         self.telemetry.how == "piggyback"
     }
 
-    /// The figures of a load report, in the order of a positional one.
+    /// The metrics of a load report, in the order of its positional form.
     pub fn columns(&self) -> Vec<Column> {
         self.telemetry.columns.iter().map(|name| Column::named(name)).collect()
     }
 }
 
-/// A field of the settings that no sidecar could work with.
+/// A field of the settings object whose value no sidecar can work with.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InvalidSetting {
-    /// The field, by its path within the settings.
+    /// The path of the field within the settings object.
     pub field: String,
-    /// What is wrong with it.
+    /// What is wrong with the value.
     pub problem: String,
 }
 
@@ -297,69 +310,73 @@
 
 impl Error for InvalidSetting {}
 
-/// No time, worth or rate is as large as this in earnest; a time in milliseconds reaches over eleven days.
-const LARGEST: f64 = 1e9;
+/// Times, weights and rates must be below this value, which no sensible setting reaches. As a time in
+/// milliseconds it is more than eleven days.
+const MAX_SETTING_VALUE: f64 = 1e9;
 
-fn positive(field: &str, value: f64) -> Result<(), InvalidSetting> {
-    if value > 0.0 && value < LARGEST {
+fn check_positive(field: &str, value: f64) -> Result<(), InvalidSetting> {
+    if value > 0.0 && value < MAX_SETTING_VALUE {
         return Ok(());
     }
-    Err(InvalidSetting::new(field, format!("{value} is not above 0 and below {LARGEST}")))
+    Err(InvalidSetting::new(field, format!("must be above 0 and below {MAX_SETTING_VALUE}, but is {value}")))
 }
 
-fn not_negative(field: &str, value: f64) -> Result<(), InvalidSetting> {
-    if (0.0..LARGEST).contains(&value) {
+fn check_not_negative(field: &str, value: f64) -> Result<(), InvalidSetting> {
+    if (0.0..MAX_SETTING_VALUE).contains(&value) {
         return Ok(());
     }
-    Err(InvalidSetting::new(field, format!("{value} is not 0 or more and below {LARGEST}")))
+    Err(InvalidSetting::new(
+        field,
+        format!("must be at least 0 and below {MAX_SETTING_VALUE}, but is {value}"),
+    ))
 }
 
-/// Names of one list that stand for different things. A name that comes twice cannot say which is meant.
-fn all_different<'a>(
+/// Checks that the names in a list are unique. A duplicate name would be ambiguous.
+fn check_unique<'a>(
     list: &str,
     field: &str,
     names: impl Iterator<Item = &'a str>,
 ) -> Result<(), InvalidSetting> {
-    let mut places = HashMap::new();
-    for (place, name) in names.enumerate() {
-        if let Some(other) = places.insert(name, place) {
-            let problem = format!("{list}[{other}]{field} is {name:?}, too");
-            return Err(InvalidSetting::new(format!("{list}[{place}]{field}"), problem));
+    let mut indices = HashMap::new();
+    for (index, name) in names.enumerate() {
+        if let Some(other) = indices.insert(name, index) {
+            let problem = format!("{list}[{other}]{field} has the same value {name:?}");
+            return Err(InvalidSetting::new(format!("{list}[{index}]{field}"), problem));
         }
     }
     Ok(())
 }
 
 impl Allowed {
-    fn check(&self) -> Result<(), InvalidSetting> {
+    fn validate(&self) -> Result<(), InvalidSetting> {
         if self.max_attempts == 0 {
-            return Err(InvalidSetting::new("allowed.max_attempts", "0 leaves no attempt"));
+            return Err(InvalidSetting::new("allowed.max_attempts", "must be at least 1, but is 0"));
         }
-        not_negative("allowed.max_retry_after", self.max_retry_after)?;
-        positive("allowed.keepalive", self.keepalive)?;
-        positive("allowed.connect_timeout", self.connect_timeout)
+        check_not_negative("allowed.max_retry_after", self.max_retry_after)?;
+        check_positive("allowed.keepalive", self.keepalive)?;
+        check_positive("allowed.connect_timeout", self.connect_timeout)
     }
 }
 
 impl Invariants {
-    fn check(&self) -> Result<(), InvalidSetting> {
-        positive("invariants.cold_share", self.cold_share)?;
-        positive("invariants.warm_up", self.warm_up)?;
-        positive("invariants.fall_multiple", self.fall_multiple)?;
-        not_negative("invariants.fall", self.fall)
+    fn validate(&self) -> Result<(), InvalidSetting> {
+        check_positive("invariants.cold_share", self.cold_share)?;
+        check_positive("invariants.warm_up", self.warm_up)?;
+        check_positive("invariants.fall_multiple", self.fall_multiple)?;
+        check_not_negative("invariants.fall", self.fall)
     }
 }
 
 impl WireClass {
-    fn check(&self, path: &str) -> Result<(), InvalidSetting> {
+    fn validate(&self, path: &str) -> Result<(), InvalidSetting> {
         if self.name.is_empty() {
-            return Err(InvalidSetting::new(format!("{path}.name"), "it is empty"));
+            return Err(InvalidSetting::new(format!("{path}.name"), "must not be empty"));
         }
-        positive(&format!("{path}.aim"), self.aim)?;
-        positive(&format!("{path}.hard_limit"), self.hard_limit)?;
-        positive(&format!("{path}.importance"), self.importance)?;
-        not_negative(&format!("{path}.late_worth"), self.late_worth)?;
-        not_negative(&format!("{path}.window"), self.window)
+        check_positive(&format!("{path}.aim"), self.aim)?;
+        check_positive(&format!("{path}.hard_limit"), self.hard_limit)?;
+        check_positive(&format!("{path}.importance"), self.importance)?;
+        check_not_negative(&format!("{path}.late_worth"), self.late_worth)?;
+        check_not_negative(&format!("{path}.window"), self.window)
     }
 
     fn class(&self) -> Class {
@@ -382,18 +399,18 @@
     }
 }
 
-/// A figure in a load report that the module can use.
+/// A metric in a load report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Column {
-    /// Requests in hand.
+    /// The number of requests in flight at the server.
     InFlight,
-    /// How busy the cores are.
+    /// The utilisation of the server's cores.
     Utilisation,
-    /// Requests served a second.
+    /// Requests served per second.
     Served,
-    /// Errors a second.
+    /// Errors per second.
     Errors,
-    /// One that the module has no use for.
+    /// A metric that the module does not use.
     Other,
 }
 
@@ -409,10 +426,10 @@
     }
 }
 
-/// Puts the figures of a report in their places.
-pub fn report_from_columns(columns: &[Column], stats: &[f64]) -> LoadReport {
+/// Builds a load report from values in the order of the given columns.
+pub fn report_from_columns(columns: &[Column], values: &[f64]) -> LoadReport {
     let mut report = LoadReport::default();
-    for (column, value) in columns.iter().zip(stats) {
+    for (column, value) in columns.iter().zip(values) {
         match column {
             Column::InFlight => report.in_flight = Some(*value),
             Column::Utilisation => report.utilisation = Some(*value),
@@ -424,32 +441,33 @@
     report
 }
 
-/// The place of a name in a list; for a stranger a number past the end, drawn from the name itself.
+/// The index of a name in a list. A name that is not in the list gets a number past the end of the list,
+/// which is a hash of the name.
 pub fn number_of_name(names: &[String], name: &str) -> u64 {
-    let stranger =
-        || name.bytes().fold(1 << 32, |sum: u64, byte| sum.wrapping_mul(257).wrapping_add(u64::from(byte)));
-    names.iter().position(|known| known == name).map_or_else(stranger, |place| place as u64)
+    let hash_of_unlisted =
+        || name.bytes().fold(1 << 32, |hash: u64, byte| hash.wrapping_mul(257).wrapping_add(u64::from(byte)));
+    names.iter().position(|known| known == name).map_or_else(hash_of_unlisted, |index| index as u64)
 }
 
-/// Reads a load report of the form `TEXT inflight=7, util=0.61`: the figures that the settings name. `None`
-/// where there is no sound one.
+/// Parses a load report of the form `TEXT inflight=7, util=0.61`. Metrics that are not among the columns and
+/// values that are not plausible are skipped. `None` if no metric remains.
 pub fn report_from_text(columns: &[Column], text: &str) -> Option<LoadReport> {
-    let figures = text.trim().strip_prefix("TEXT")?;
-    let (mut used, mut stats) = (Vec::new(), Vec::new());
-    for figure in figures.split(',') {
-        let Some((name, value)) = figure.split_once('=') else { continue };
+    let metrics = text.trim().strip_prefix("TEXT")?;
+    let (mut found, mut values) = (Vec::new(), Vec::new());
+    for metric in metrics.split(',') {
+        let Some((name, value)) = metric.split_once('=') else { continue };
         let column = Column::named(name.trim());
-        let value = value.trim().parse().ok().filter(|v: &f64| (0.0..=MOST).contains(v));
+        let value = value.trim().parse().ok().filter(|v: &f64| (0.0..=MAX_REPORT_VALUE).contains(v));
         if let (true, Some(value)) = (columns.contains(&column), value) {
-            used.push(column);
-            stats.push(value);
+            found.push(column);
+            values.push(value);
         }
     }
-    (!used.is_empty()).then(|| report_from_columns(&used, &stats))
+    (!found.is_empty()).then(|| report_from_columns(&found, &values))
 }
 
-/// No figure of a load report is larger in earnest.
-const MOST: f64 = 1e6;
+/// A larger value in a load report is not plausible and is skipped.
+const MAX_REPORT_VALUE: f64 = 1e6;
 
 #[cfg(test)]
 mod tests;
