--- a/crates/sagemast/src/groups.rs
+++ b/crates/sagemast/src/groups.rs
@@ -1,4 +1,5 @@
-//! Sets of servers, and groups of them by a key, a state or a ring of zones. Nothing is decided here.
+//! Indexed sets of servers, and their grouping by zone, cell, state and zone set. This file keeps state and
+//! decides nothing.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,15 +9,16 @@
 
 use crate::api::{CellId, UpstreamId, ZoneId};
 
-/// Members in the order that draws go by; which one has an index is the same wherever the same events came.
+/// A set of servers that draws read by index. The order is deterministic: the same sequence of events always
+/// gives the same server at an index.
 pub(crate) type EndpointSet = IndexSet<UpstreamId, FxBuildHasher>;
 
-/// Adds a member to its group.
+/// Adds a server to a group.
 pub(crate) fn add_to_group<K: Ord>(groups: &mut BTreeMap<K, EndpointSet>, group: K, id: UpstreamId) {
     groups.entry(group).or_default().insert(id);
 }
 
-/// Takes a member out of its group, and the group away with its last member.
+/// Removes a server from a group, and the group itself when it becomes empty.
 pub(crate) fn remove_from_group<K: Ord + Copy>(
     groups: &mut BTreeMap<K, EndpointSet>,
     group: K,
@@ -29,43 +31,44 @@
     }
 }
 
-/// The states of a server that takes work.
+/// The state of a serving server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Pool {
     /// Healthy and at its full capacity.
     Warm,
-    /// Healthy, started not long ago.
+    /// Healthy and in slow start, because it has started recently.
     Cold,
-    /// Ejected, its time is up, and nothing of ours is out there: it may be tried with one request.
+    /// Ejected for long enough, and without attempts of this sidecar in flight. One request may be sent to it
+    /// as an ejection probe.
     Trial,
-    /// Ejected.
+    /// Ejected, and may not be sent an ejection probe yet.
     Waiting,
 }
 
 impl Pool {
-    /// All of them, in the order of their sets.
+    /// All states, in the order in which their sets are stored.
     pub const ALL: [Pool; 4] = [Pool::Warm, Pool::Cold, Pool::Trial, Pool::Waiting];
 }
 
-/// Whom a pair is drawn from.
+/// The servers that a pair is drawn from.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum DrawFrom {
-    /// Warm servers in our zone.
+    /// Warm servers in this sidecar's zone.
     LocalWarm,
-    /// Warm servers.
+    /// Warm servers in all zones.
     Warm,
-    /// All that may be sent a request: warm, cold, and due for a trial.
+    /// All servers that may be sent a request: warm ones, cold ones and those due for an ejection probe.
     Ready,
-    /// All that serve, ejected ones too.
+    /// All serving servers, including ejected ones.
     AllServing,
-    /// All that serve in a zone.
+    /// All serving servers in a zone.
     Zone(ZoneId),
-    /// All that serve in a cell.
+    /// All serving servers in a cell.
     Cell(CellId),
 }
 
 impl DrawFrom {
-    /// The states of those that it takes in; none where it is a group.
+    /// The pools that make up this source. Empty for a zone or a cell, which are not made up of pools.
     fn pools(self) -> &'static [Pool] {
         match self {
             DrawFrom::LocalWarm | DrawFrom::Warm => &[Pool::Warm],
@@ -76,7 +79,7 @@
     }
 }
 
-/// The member of some sets at an index over all of them.
+/// Returns the server at an index into the concatenation of some sets.
 pub(crate) fn nth_member<'s>(
     sets: impl Iterator<Item = &'s EndpointSet>,
     mut index: usize,
@@ -90,8 +93,8 @@
     None
 }
 
-/// A pair of distinct members of some sets, drawn by `below(n)`, a random number under `n`; the one there is, twice,
-/// where there is only one.
+/// Draws a pair of distinct servers from some sets. `below(n)` returns a random number less than `n`. If
+/// there is only one server, the pair consists of that server twice.
 pub(crate) fn draw_pair<'s>(
     sets: impl Iterator<Item = &'s EndpointSet> + Clone,
     mut below: impl FnMut(u64) -> u64,
@@ -103,32 +106,37 @@
     Some([at(first)?, at((first + step) % count)?])
 }
 
-/// The highest number where nobody has a place.
+/// The maximum rank of a subset without servers.
 const EMPTY_SUBSET: Option<u64> = Some(0);
 
-/// Sets by state; `[0]` of those of our zone, `[1]` of the others.
+/// Sets of servers by locality and state: `[0]` holds the servers in this sidecar's zone, `[1]` those in
+/// other zones.
 type PoolsByLocality = [[EndpointSet; Pool::ALL.len()]; 2];
 
-/// Those of some zones that serve and are of the subset for these zones, by state: a draw from it costs the same
-/// whatever the fleet, and finds nobody outside.
+/// The serving servers in a set of zones, limited to the subset that is selected for these zones, by locality
+/// and state. A draw from it costs the same for any number of servers, and never returns a server outside the
+/// zones.
+///
+/// A server's position in the pools is a pair: its locality (0 for this sidecar's zone, 1 for any other) and
+/// its state.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct ZoneSetPools {
-    /// Its zones; all there are, where it has no bounds.
+    /// The zones. `None` stands for all zones.
     #[serde(rename = "bounds")]
     pub zones: Option<BTreeSet<ZoneId>>,
-    /// Servers with a higher number than this are not of its subset.
+    /// The highest rank in the subset. Servers with a higher rank are not in it. `None` means no limit.
     #[serde(rename = "highest")]
     pub max_rank: Option<u64>,
     pub pools: PoolsByLocality,
 }
 
 impl ZoneSetPools {
-    /// One that lets nobody in until its subset is known.
+    /// Creates the pools for a set of zones. No server is eligible until a subset is selected.
     pub fn for_zones(zones: &BTreeSet<ZoneId>) -> ZoneSetPools {
         ZoneSetPools { zones: Some(zones.clone()), max_rank: EMPTY_SUBSET, pools: PoolsByLocality::default() }
     }
 
-    /// Has the subset told anew.
+    /// Makes no server eligible until a subset is selected again.
     pub fn reset_subset(&mut self) {
         self.max_rank = EMPTY_SUBSET;
     }
@@ -137,60 +145,66 @@
         self.zones.as_ref().is_none_or(|zones| zones.contains(&zone))
     }
 
-    /// Whether a server that serves stands here, by its side and state.
-    pub fn contains(&self, id: UpstreamId, (side, pool): (usize, Pool)) -> bool {
-        self.pools[side][pool as usize].contains(&id)
+    /// Whether a server is in the pools at the given position.
+    pub fn contains(&self, id: UpstreamId, (locality, pool): (usize, Pool)) -> bool {
+        self.pools[locality][pool as usize].contains(&id)
     }
 
-    /// Puts a server in that serves, if it belongs here by its number and zone; whether it does.
+    /// Inserts a serving server if its zone and rank make it eligible. Returns whether they do.
     pub fn insert_if_eligible(
         &mut self,
         id: UpstreamId,
-        number: u64,
+        rank: u64,
         zone: ZoneId,
-        (side, pool): (usize, Pool),
+        (locality, pool): (usize, Pool),
     ) -> bool {
-        let belongs = self.covers_zone(zone) && self.max_rank.is_none_or(|highest| number <= highest);
-        if belongs {
-            self.pools[side][pool as usize].insert(id);
+        let eligible = self.covers_zone(zone) && self.max_rank.is_none_or(|max_rank| rank <= max_rank);
+        if eligible {
+            self.pools[locality][pool as usize].insert(id);
         }
-        belongs
+        eligible
     }
 
-    /// Takes a server out; whether it was here.
-    pub fn remove(&mut self, id: UpstreamId, (side, pool): (usize, Pool)) -> bool {
-        self.pools[side][pool as usize].swap_remove(&id)
+    /// Removes a server from the given position. Returns whether it was there.
+    pub fn remove(&mut self, id: UpstreamId, (locality, pool): (usize, Pool)) -> bool {
+        self.pools[locality][pool as usize].swap_remove(&id)
     }
 
-    /// Moves a server to another state, if it is here.
-    pub fn change_pool(&mut self, id: UpstreamId, from: (usize, Pool), (side, pool): (usize, Pool)) {
+    /// Moves a server from one position to another, if it is in these pools.
+    pub fn change_pool(&mut self, id: UpstreamId, from: (usize, Pool), (locality, pool): (usize, Pool)) {
         if self.remove(id, from) {
-            self.pools[side][pool as usize].insert(id);
+            self.pools[locality][pool as usize].insert(id);
         }
     }
 
-    /// How many stand here in these states.
+    /// The number of servers in the given pools.
     pub fn count(&self, pools: &[Pool]) -> usize {
-        pools.iter().map(|pool| self.pools.iter().map(|side| side[*pool as usize].len()).sum::<usize>()).sum()
+        pools
+            .iter()
+            .map(|pool| self.pools.iter().map(|locality| locality[*pool as usize].len()).sum::<usize>())
+            .sum()
     }
 
-    /// The sets that make up whom a pair is drawn from; none where that is a group.
+    /// The sets that a pair is drawn from. Empty if the source is a zone or a cell.
     pub fn sets_for(&self, from: DrawFrom) -> impl Iterator<Item = &EndpointSet> + Clone {
-        let sides = if from == DrawFrom::LocalWarm { 1 } else { 2 };
+        let localities = if from == DrawFrom::LocalWarm { 1 } else { 2 };
         let pools = from.pools();
-        self.pools[..sides].iter().flat_map(move |side| pools.iter().map(|pool| &side[*pool as usize]))
+        self.pools[..localities]
+            .iter()
+            .flat_map(move |locality| pools.iter().map(|pool| &locality[*pool as usize]))
     }
 
-    /// The sets of cold ones.
+    /// The sets of cold servers.
     pub fn cold_sets(&self) -> impl Iterator<Item = &EndpointSet> {
-        self.pools.iter().map(|side| &side[Pool::Cold as usize])
+        self.pools.iter().map(|locality| &locality[Pool::Cold as usize])
     }
 
-    /// Keeps so many of its servers, by how many those are, given the numbers and zones of all in order; whether that
-    /// changes who stands here.
-    pub fn limit_subset(&mut self, all: &[(u64, ZoneId)], count: impl Fn(usize) -> usize) -> bool {
-        let own = || all.iter().filter(|(_, zone)| self.covers_zone(*zone)).map(|(number, _)| *number);
-        let highest = own().nth(count(own().count()).saturating_sub(1));
-        std::mem::replace(&mut self.max_rank, highest) != highest
+    /// Limits the subset to a number of the servers in these zones. `ranks` holds the rank and zone of every
+    /// serving server, in ascending order. `count` returns the size of the subset for a given number of
+    /// servers. Returns whether the highest rank in the subset changes.
+    pub fn limit_subset(&mut self, ranks: &[(u64, ZoneId)], count: impl Fn(usize) -> usize) -> bool {
+        let own = || ranks.iter().filter(|(_, zone)| self.covers_zone(*zone)).map(|(rank, _)| *rank);
+        let max_rank = own().nth(count(own().count()).saturating_sub(1));
+        std::mem::replace(&mut self.max_rank, max_rank) != max_rank
     }
 }
--- a/crates/sagemast/src/settings.rs
+++ b/crates/sagemast/src/settings.rs
@@ -128,7 +128,7 @@
     must_ask_in: f64,
 }
 
-/// How discovery delivers its updates: it pushes them, or sidecars poll for them.
+/// How sidecars learn of changes to the server list: discovery pushes them, or sidecars must poll in time.
 #[derive(Deserialize, Clone, Copy, PartialEq)]
 #[serde(rename_all = "snake_case")]
 enum Membership {
