--- a/crates/sagemast/src/slow_start.rs
+++ b/crates/sagemast/src/slow_start.rs
@@ -1,10 +1,13 @@
-//! The budget of servers in slow start: what all sidecars together may send a server that started not long ago.
+//! Limits what all sidecars together send to a server in slow start, that is, one that has started recently.
 //!
-//! Of what the settings allow a server in a window each sidecar that shares it has an equal part, in whole
-//! places: one that comes to 2.3 is 2 places at some sidecars and 3 at others, by private random numbers, so
-//! that all parts together come to what they should. A place lets one request pass and is free again a window
-//! later. So no window holds more requests than there are places, whatever reports say and however many
-//! sidecars there are or uneven their traffic is, and a place that is not used is kept for as long as it is not.
+//! The settings allow a server in slow start a number of requests per window. Each sidecar that shares the
+//! server gets an equal quota of them, in whole slots. A fractional quota is rounded at random: 2.3 becomes 2
+//! slots at some sidecars and 3 at others, so that all quotas together come to the intended sum. Each sidecar
+//! uses its own random numbers for this.
+//!
+//! A slot admits one request and becomes free again one window later. Therefore no window holds more requests
+//! than there are slots, whatever load reports say, however many sidecars there are and however unevenly
+//! their traffic is distributed. An unused slot stays available until it is used.
 
 use std::collections::VecDeque;
 
@@ -17,68 +20,76 @@
 use crate::groups::{DrawFrom, Pool};
 use crate::state::{Candidate, Held, Upstream};
 
-/// The share of a server's allowance that is given out in places: sizes, service times and the number of
-/// sidecars that share a server are estimates, and what places come to spreads by chance.
+/// The fraction of a server's allowance that is handed out as slots. The rest is a safety margin: capacities,
+/// service times and the number of sidecars that share a server are estimates, and the sum of the randomly
+/// rounded quotas varies.
 const ALLOCATED_SHARE: f64 = 0.5;
-/// Of its places for a server a sidecar uses no more than this share, rounded up, within this share of the window: all
-/// at once they would be a queue of seconds.
+/// Within this fraction of the window, a sidecar uses at most this fraction of its slots at a server, rounded
+/// up. Using all slots at once would build a queue of several seconds.
 const BURST_FRACTION: f64 = 0.25;
-/// When a server starts, sidecars have this share of their places there; all of them a window later.
+/// The fraction of its slots that a sidecar has when a server starts. It has all of them one window later.
 const INITIAL_SLOT_SHARE: f64 = 0.25;
-/// Whether a part is rounded up or down is drawn anew after so many windows, at each sidecar at another time: else one
-/// server might have few places for all its slow start. In a window so many more requests may come.
+/// The random rounding of a quota is repeated after this many windows, at a different time at each sidecar.
+/// Without that, a server could have few slots for its entire slow start. The redraws can admit more requests
+/// in a window, by about one part in this number.
 const REDRAW_WINDOWS: f64 = 8.0;
-/// The size that a server is taken for at most where the list tells no sizes: its kind's mean may be far above it.
+/// The highest capacity that a server is assumed to have if the server list holds no capacities. The mean of
+/// its kind can be far above the server's own capacity.
 const MAX_UNLISTED_CAPACITY: f64 = 1.0;
-/// How many servers are looked at for one with a free place: in large fleets most of a sidecar's subset.
+/// The number of servers that are checked for a free slot. It covers most of a sidecar's subset in a large
+/// cluster.
 const MAX_COLD_CHECKS: usize = 16;
-/// How many answers the service time assumed at first counts for, and how many the newest ones count for.
+/// The number of answers that the initially assumed service time counts for.
 const PRIOR_ANSWERS: f64 = 4.0;
+/// The number of answers that the mean service time covers. Older ones fade out.
 const MAX_REMEMBERED_ANSWERS: f64 = 200.0;
-/// One answer counts for no more than this many mean ones: a server that hung tells nothing of the work.
+/// An answer counts as at most this many times the mean service time. A longer time comes from a server that
+/// hung and says nothing about the work.
 const MAX_ANSWER_RATIO: f64 = 5.0;
-/// Weight of an arrival in the mean work of a request, once there are some.
+/// The weight of an arrival in the mean work per request, after the first few arrivals.
 const MIN_ARRIVAL_STEP: f64 = 0.02;
 
-/// A sum of service times and how many they are.
+/// A sum of service times and the number of answers in it.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 struct ServiceTimes {
     sum: Millis,
     count: f64,
 }
 
-/// What one sidecar sent servers in slow start, and what their allowance is reckoned from.
+/// What this sidecar has sent to servers in slow start, and the estimates that their allowance is computed
+/// from.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct SlowStart {
-    /// Makes this sidecar's random numbers differ from those of others.
+    /// Makes the random numbers of this sidecar differ from those of others.
     salt: u64,
-    /// When the module was told its first event. A server that had started before may have been sent requests by an
-    /// earlier life of this sidecar.
+    /// The time of the module's first event. A server that had started before may have been sent requests by
+    /// a previous process of this sidecar.
     first_event_at: Option<Millis>,
-    /// Times of our sends within the window, by server, oldest first.
+    /// The times of this sidecar's sends within the window, by server, oldest first.
     #[serde(with = "indexmap::map::serde_seq")]
     send_times: IndexMap<UpstreamId, VecDeque<Millis>, FxBuildHasher>,
-    /// Where the next look for a server with a free place begins.
+    /// The index of the cold server at which the next search for a free slot starts, before wrap-around.
     next_cold_index: usize,
-    /// Answers of warm servers by class, which met no queue.
+    /// Service times by class, from answers of warm servers to requests that did not wait in a queue.
     service_times: Vec<ServiceTimes>,
-    /// Mean service time of the arrivals, and how many it is of.
+    /// The mean service time of the arriving requests.
     mean_service_time: Millis,
+    /// The number of arrivals in that mean.
     arrival_count: f64,
 }
 
 impl SlowStart {
-    /// Nothing sent yet.
+    /// Starts without any sends.
     pub fn new(salt: u64) -> SlowStart {
         SlowStart { salt, ..SlowStart::default() }
     }
 
-    /// Notes when the first event came.
+    /// Records the time of the first event. Later calls have no effect.
     pub fn record_first_event(&mut self, now: Millis) {
         self.first_event_at.get_or_insert(now);
     }
 
-    /// Counts a send to a server in slow start.
+    /// Records a send to a server in slow start.
     pub fn record_send(&mut self, server: UpstreamId, now: Millis, window: Millis) {
         let times = self.send_times.entry(server).or_default();
         while times.front().is_some_and(|at| *at <= now - window) {
@@ -87,61 +98,63 @@
         times.push_back(now);
     }
 
-    /// Forgets sends that lie before the window.
-    pub fn drop_sends_before(&mut self, from: Millis) {
-        self.send_times.retain(|_, times| times.back().is_some_and(|at| *at > from));
+    /// Drops the servers that were last sent a request before the window.
+    pub fn drop_sends_before(&mut self, window_start: Millis) {
+        self.send_times.retain(|_, times| times.back().is_some_and(|at| *at > window_start));
     }
 
-    /// Whether fewer than `most` sends to a server are later than a time.
-    fn sent_fewer_since(&self, server: UpstreamId, from: Millis, most: usize) -> bool {
-        let Some(times) = self.send_times.get(&server) else { return most > 0 };
-        let place = times.len().checked_sub(most);
-        most > 0 && place.and_then(|place| times.get(place)).is_none_or(|at| *at <= from)
+    /// Whether fewer than `limit` requests were sent to a server after the given time.
+    fn sent_fewer_since(&self, server: UpstreamId, since: Millis, limit: usize) -> bool {
+        let Some(times) = self.send_times.get(&server) else { return limit > 0 };
+        let index = times.len().checked_sub(limit);
+        limit > 0 && index.and_then(|index| times.get(index)).is_none_or(|at| *at <= since)
     }
 
-    /// Forgets how long a class takes, which another one takes the place of.
+    /// Drops the service times of a class whose id is given to another class.
     pub fn reset_class(&mut self, class: ClassId) {
-        if let Some(answers) = self.service_times.get_mut(class.0) {
-            *answers = ServiceTimes::default();
+        if let Some(times) = self.service_times.get_mut(class.0) {
+            *times = ServiceTimes::default();
         }
     }
 
-    /// Averages in the time of an answer of a warm server that met no queue.
+    /// Adds the service time of an answer from a warm server, for a request that did not wait in a queue.
+    /// `assumed` is the class's initially assumed service time.
     pub fn record_answer(&mut self, class: ClassId, time: Millis, assumed: Millis) {
         let longest = MAX_ANSWER_RATIO * self.service_time(class, assumed);
         if self.service_times.len() <= class.0 {
             self.service_times.resize(class.0 + 1, ServiceTimes::default());
         }
-        let Some(answers) = self.service_times.get_mut(class.0) else { return };
-        if answers.count >= MAX_REMEMBERED_ANSWERS {
-            answers.sum *= 1.0 - 1.0 / MAX_REMEMBERED_ANSWERS;
-            answers.count *= 1.0 - 1.0 / MAX_REMEMBERED_ANSWERS;
+        let Some(times) = self.service_times.get_mut(class.0) else { return };
+        if times.count >= MAX_REMEMBERED_ANSWERS {
+            times.sum *= 1.0 - 1.0 / MAX_REMEMBERED_ANSWERS;
+            times.count *= 1.0 - 1.0 / MAX_REMEMBERED_ANSWERS;
         }
-        answers.sum += time.min(longest);
-        answers.count += 1.0;
+        times.sum += time.min(longest);
+        times.count += 1.0;
     }
 
-    /// Averages in the work of an arrival.
+    /// Updates the mean work per request with an arrival.
     pub fn record_arrival(&mut self, class: ClassId, assumed: Millis) {
         self.arrival_count += 1.0;
         let step = MIN_ARRIVAL_STEP.max(1.0 / self.arrival_count);
         self.mean_service_time += step * (self.service_time(class, assumed) - self.mean_service_time);
     }
 
+    /// The mean service time of a class. The assumed one counts as [`PRIOR_ANSWERS`] answers.
     fn service_time(&self, class: ClassId, assumed: Millis) -> Millis {
-        let answers = self.service_times.get(class.0).copied().unwrap_or_default();
-        (PRIOR_ANSWERS * assumed + answers.sum) / (PRIOR_ANSWERS + answers.count)
+        let times = self.service_times.get(class.0).copied().unwrap_or_default();
+        (PRIOR_ANSWERS * assumed + times.sum) / (PRIOR_ANSWERS + times.count)
     }
 
-    /// A part in whole places, rounded up with a chance that is what it is beyond a whole number.
-    fn whole_slots(&self, server: UpstreamId, part: f64, now: Millis, window: Millis) -> usize {
-        let own = splitmix64(self.salt ^ splitmix64(server.0));
-        let drawn = (now / (REDRAW_WINDOWS * window).max(1.0) + unit_fraction(own)).floor();
-        (part + unit_fraction(splitmix64(own ^ drawn.to_bits()))) as usize
+    /// Rounds a quota to whole slots at random. The probability of rounding up is the fractional part.
+    fn whole_slots(&self, server: UpstreamId, quota: f64, now: Millis, window: Millis) -> usize {
+        let seed = splitmix64(self.salt ^ splitmix64(server.0));
+        let period = (now / (REDRAW_WINDOWS * window).max(1.0) + unit_fraction(seed)).floor();
+        (quota + unit_fraction(splitmix64(seed ^ period.to_bits()))) as usize
     }
 }
 
-/// The finalizer of SplitMix64: numbers that differ in one bit come out unlike.
+/// The SplitMix64 generator's step and finalizer. Inputs that differ in one bit give unrelated results.
 fn splitmix64(number: u64) -> u64 {
     let number = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let number = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -149,61 +162,69 @@
     number ^ (number >> 31)
 }
 
-/// A number's upper half as a share of 1, under 1.
+/// Maps the upper half of a number to a fraction from 0 to below 1.
 fn unit_fraction(number: u64) -> f64 {
     (number >> 32) as f64 / 4_294_967_296.0
 }
 
 impl Balancer {
-    /// Whether a server in slow start may be sent one more: by what the fleet leased of it, else by our places. Any
-    /// other server may.
+    /// Whether a server may be sent one more request as far as slow start is concerned. A server in slow
+    /// start needs a lease from the cluster or, where the cluster hands out no leases, a free slot. Any other
+    /// server may be sent the request.
     pub(crate) fn slow_start_admits(&self, to: &Candidate) -> bool {
-        let by_places =
-            || to.warmth >= 1.0 || self.fleet.get(to.id).is_some_and(|it| self.has_free_slot(to.id, it));
-        self.guided.leased(to, self.now).unwrap_or_else(by_places)
+        let by_slots = || {
+            to.warmth >= 1.0 || self.fleet.get(to.id).is_some_and(|server| self.has_free_slot(to.id, server))
+        };
+        self.guided.leased(to, self.now).unwrap_or_else(by_slots)
     }
 
-    /// A pair, in which servers in slow start that have a place for us stand for those that were drawn. Where the first
-    /// pair had no room, one is offered beside the next. Nothing where a member may not be sent the request.
+    /// Draws a pair of candidates. Each cold server in the pair is replaced by a cold server that has a free
+    /// slot for this sidecar, if one is found. From the second round on, when an earlier pair had no
+    /// capacity, such a server is also offered as a third candidate. Returns `None` if a drawn server may not
+    /// be sent the request.
     pub(crate) fn draw_candidates(
         &mut self,
-        ring: Option<usize>,
+        zone_set: Option<usize>,
         from: DrawFrom,
         round: usize,
         held: &Held,
     ) -> Option<[Option<Candidate>; 3]> {
-        let ids = self.fleet.draw_pair(ring, from, |n| self.rng.rand_range(0..n))?;
+        let ids = self.fleet.draw_pair(zone_set, from, |n| self.rng.rand_range(0..n))?;
         let [Some(one), Some(other)] = ids.map(|id| self.look(id, held)) else { return None };
         let mut drawn = [Some(one), Some(other), None];
         if !matches!(from, DrawFrom::Ready | DrawFrom::Warm) || self.guided.leases() {
             return Some(drawn);
         }
-        for place in &mut drawn {
-            let offers = place.map_or(round > 0, |to| to.pool == Pool::Cold);
-            if let Some(to) = offers.then(|| self.next_cold_candidate(ring, held)).flatten() {
-                *place = Some(to);
+        for candidate in &mut drawn {
+            let replaceable = candidate.map_or(round > 0, |to| to.pool == Pool::Cold);
+            if let Some(to) = replaceable.then(|| self.next_cold_candidate(zone_set, held)).flatten() {
+                *candidate = Some(to);
             }
         }
         Some(drawn)
     }
 
-    /// The next servers in slow start are looked at for one that has a free place and that the request may go to.
-    fn next_cold_candidate(&mut self, ring: Option<usize>, held: &Held) -> Option<Candidate> {
-        let cold = self.fleet.count(ring, &[Pool::Cold]);
+    /// Checks the next cold servers in turn, and returns the first that has a free slot and may be sent the
+    /// request.
+    fn next_cold_candidate(&mut self, zone_set: Option<usize>, held: &Held) -> Option<Candidate> {
+        let cold = self.fleet.count(zone_set, &[Pool::Cold]);
         for _ in 0..cold.min(MAX_COLD_CHECKS) {
             self.slow_start.next_cold_index = self.slow_start.next_cold_index.wrapping_add(1);
-            let id = self.fleet.cold_endpoint(ring, self.slow_start.next_cold_index % cold)?;
-            let has_place = self.fleet.get(id).is_some_and(|server| self.has_free_slot(id, server));
-            if let Some(to) = has_place.then(|| self.look(id, held)).flatten() {
+            let id = self.fleet.cold_endpoint(zone_set, self.slow_start.next_cold_index % cold)?;
+            let has_slot = self.fleet.get(id).is_some_and(|server| self.has_free_slot(id, server));
+            if let Some(to) = has_slot.then(|| self.look(id, held)).flatten() {
                 return Some(to);
             }
         }
         None
     }
 
-    /// What others usually have in flight at a server, and what its reports tell of it. In slow start it has no more
-    /// than it works on at once, since all sidecars have few places there. That others read the same report does no
-    /// harm for the same reason, so a queue told of at last counts at once.
+    /// How many requests other sidecars have in flight at a server: the usual number, and the number that the
+    /// server's reports give.
+    ///
+    /// The usual number for a server in slow start is at most its current capacity, because all sidecars have
+    /// few slots there. Its newest report takes effect at once, so that a queue is noticed as soon as it is
+    /// reported. The slots also make this safe where many sidecars read the same report.
     pub(crate) fn others_in_flight(&self, server: &Upstream) -> (f64, f64) {
         let warmth = server.warmth(self.now, &self.settings.slow_start);
         if warmth >= 1.0 {
@@ -213,41 +234,46 @@
         (self.seen.others.min(warmth * self.kappa(server)), server.others.max(reported))
     }
 
+    /// Whether this sidecar has a free slot at a server, within both the window and the burst limit.
     fn has_free_slot(&self, id: UpstreamId, server: &Upstream) -> bool {
         let window = self.settings.slow_start.overload_window;
-        let places = self.slow_start.whole_slots(id, self.send_quota(server), self.now, window);
-        let at_once = (BURST_FRACTION * places as f64).ceil() as usize;
-        self.slow_start.sent_fewer_since(id, self.now - window, places)
-            && self.slow_start.sent_fewer_since(id, self.now - BURST_FRACTION * window, at_once)
+        let slots = self.slow_start.whole_slots(id, self.send_quota(server), self.now, window);
+        let burst = (BURST_FRACTION * slots as f64).ceil() as usize;
+        self.slow_start.sent_fewer_since(id, self.now - window, slots)
+            && self.slow_start.sent_fewer_since(id, self.now - BURST_FRACTION * window, burst)
     }
 
-    /// Our part of what a server may be sent in a window, in requests of mean work: by the capacity that it had
-    /// when the window began.
+    /// This sidecar's quota of the requests that a server may be sent in a window, in requests of mean work.
+    /// It is based on the capacity that the server had when the window began.
     fn send_quota(&self, server: &Upstream) -> f64 {
-        let safety = &self.settings.slow_start;
+        let rules = &self.settings.slow_start;
         let started = server.started.unwrap_or(f64::MIN);
-        let warmth = server.warmth((self.now - safety.overload_window).max(started), safety);
+        let warmth = server.warmth((self.now - rules.overload_window).max(started), rules);
         let work = self.slow_start.mean_service_time.max(f64::MIN_POSITIVE);
-        let allowed = safety.overload_multiple
+        let allowed = rules.overload_multiple
             * warmth
             * self.assured_capacity(self.kappa(server))
-            * safety.overload_window
+            * rules.overload_window
             / work;
-        // Where requests are bound to zones, a server may stand in other sets than those of the whole subset.
+        // If residency rules restrict requests to zone sets, a server can be in other subsets than the
+        // unrestricted one, so that any sidecar may share it.
         let sharers = if self.fleet.zone_set_count() > 0 {
             f64::from(self.settings.sidecars)
         } else {
             self.seen.sharers
         };
-        // What an earlier life of this sidecar sent in the last window is not known.
-        let began = self.slow_start.first_event_at.unwrap_or(self.now);
-        let (from, first) = if began > started { (began, 0.0) } else { (started, INITIAL_SLOT_SHARE) };
-        let known = ((self.now - from) / safety.overload_window.max(1.0)).clamp(first, 1.0);
-        ALLOCATED_SHARE * allowed * known / sharers.max(1.0)
+        // What a previous process of this sidecar sent to the server within the last window is not known. If
+        // the server had started before this process, the quota grows from 0 over one window.
+        let first_event_at = self.slow_start.first_event_at.unwrap_or(self.now);
+        let (from, initial) =
+            if first_event_at > started { (first_event_at, 0.0) } else { (started, INITIAL_SLOT_SHARE) };
+        let available = ((self.now - from) / rules.overload_window.max(1.0)).clamp(initial, 1.0);
+        ALLOCATED_SHARE * allowed * available / sharers.max(1.0)
     }
 
-    /// The size that a server surely has, given the one that is learnt.
-    fn assured_capacity(&self, size: f64) -> f64 {
-        if self.settings.weights_are_capacities { size } else { size.min(MAX_UNLISTED_CAPACITY) }
+    /// The capacity that a server can be relied on to have, given its estimated capacity. An estimate that is
+    /// not based on listed capacities is limited to [`MAX_UNLISTED_CAPACITY`].
+    fn assured_capacity(&self, capacity: f64) -> f64 {
+        if self.settings.weights_are_capacities { capacity } else { capacity.min(MAX_UNLISTED_CAPACITY) }
     }
 }
