--- a/crates/sagemast/src/explain.rs
+++ b/crates/sagemast/src/explain.rs
@@ -6,18 +6,18 @@
 use crate::state::{Candidate, PendingRequest};
 
 /// The grounds of a refusal are told this often at most.
-const EXPLAIN_EVERY: Millis = 1_000.0;
+const REJECTION_LOG_INTERVAL: Millis = 1_000.0;
 
 impl Balancer {
     /// Tells at most once a second on what grounds a request found no server.
     pub(crate) fn log_rejection(
         &mut self,
         request: RequestId,
-        held: &PendingRequest,
+        pending: &PendingRequest,
         last: &[Option<Candidate>],
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
-        if self.now < self.estimates.last_explained_at + EXPLAIN_EVERY {
+        if self.now < self.estimates.last_explained_at + REJECTION_LOG_INTERVAL {
             return;
         }
         self.estimates.last_explained_at = self.now;
@@ -37,18 +37,18 @@
             drawn if drawn.is_empty() => "none".to_owned(),
             drawn => format!("[{}]", drawn.join(", ")),
         };
-        let ring = self.guidance.ring(held);
+        let ring = self.guidance.ring(pending);
         let [warm, cold, trial, waiting] = Pool::ALL.map(|pool| self.endpoints.count(ring, &[pool]));
         let text = format!(
             "request {} of class {} has no place: aim_left={:.0} room={:.2} tries={} warm={warm} cold={cold} \
              trial={trial} ejected={waiting} drawn={drawn}; service={:.0} room_scale={:.2} refused={:.2} \
              pace={:.2} kappa={:.2} others={:.1}",
             request.0,
-            held.class.0,
-            self.time_to_objective(held),
+            pending.class.0,
+            self.time_to_objective(pending),
             self.slowdown_limit(),
-            held.attempts.len(),
-            seen.classes[held.class.0].service_time,
+            pending.attempts.len(),
+            seen.classes[pending.class.0].service_time,
             self.headroom_scale(),
             seen.rejection_rate,
             seen.all_servers.mean_slowness,
@@ -56,6 +56,6 @@
             seen.others_in_flight,
         );
         let text = ring.map_or(text.clone(), |ring| format!("{text}; may only go to ring {ring}"));
-        out.push(Action::Log { about: Some(request), text });
+        actions.push(Action::Log { about: Some(request), text });
     }
 }
--- a/crates/sagemast/src/state.rs
+++ b/crates/sagemast/src/state.rs
@@ -9,12 +9,12 @@
 use crate::groups::Pool;
 
 /// What a server taught by turning requests away fades over this time.
-const LIMIT_FORGETS: Millis = 2_000.0;
+const LIMIT_RECOVERY_TIME: Millis = 2_000.0;
 /// A time that lies before all others, but is finite: a checkpoint keeps times as numbers.
 const NEVER: Millis = f64::MIN;
 
 /// A share of the usual that was learnt so long ago and goes back to all of it over a time.
-pub(crate) fn faded(share: f64, since: Millis, over: Millis) -> f64 {
+pub(crate) fn decay_to_one(share: f64, since: Millis, over: Millis) -> f64 {
     1.0 - (1.0 - share) * (-since / over).exp()
 }
 
@@ -323,7 +323,7 @@
 
     /// The share of its size that it takes, as far as that is not forgotten.
     pub fn limit_fraction_at(&self, now: Millis) -> f64 {
-        faded(self.limit_fraction, now - self.limit_updated_at, LIMIT_FORGETS)
+        decay_to_one(self.limit_fraction, now - self.limit_updated_at, LIMIT_RECOVERY_TIME)
     }
 
     /// Strikes a send off the books.
