--- a/crates/sagemast/src/balancer.rs
+++ b/crates/sagemast/src/balancer.rs
@@ -1,8 +1,9 @@
-//! Every decision of the load balancer. The types it speaks in are in `src/api.rs`.
+//! All decisions of the load balancer. The types of its interface are in `src/api.rs`.
 //!
-//! Ordinary path: per request draw two ready servers at random and send to the one with the smaller
-//! projected utilisation (m+1)/κ. Read on in the order a request meets it: arrival, choice, room, look, send,
-//! outcome; then limits, reports, health, the list.
+//! For an ordinary request, the balancer draws two ready servers at random and sends the request to the one
+//! with the smaller projected utilisation (m+1)/κ, where m is the number of requests in flight at the server
+//! and κ is its capacity. The methods follow the path of a request: arrival, choice of a server, headroom,
+//! evaluation of one server, sending, outcome. Limits, load reports, health and the server list come after.
 
 use std::collections::BTreeMap;
 
@@ -18,95 +19,114 @@
 use crate::slow_start::SlowStart;
 use crate::state::*;
 
-/// A report older than this is renewed when its server is drawn: servers renew theirs no oftener.
+/// A drawn server is probed when its load report is older than this. Servers do not refresh their figures
+/// more often, so that an earlier probe would return the same report.
 const REPORT_REFRESH_AGE: Millis = 300.0;
-/// From this age on a report tells less and less, over [`ESTIMATE_DECAY_TIME`]; the fleet's mean takes its place.
+/// From this age on a report loses weight over [`ESTIMATE_DECAY_TIME`], and the mean of all servers takes its
+/// place.
 const REPORT_STALE_AGE: Millis = 1_000.0;
-/// What others have in flight at a server is averaged over about this time: a report is a second old when
-/// it comes, and every sidecar reads the same one, so that by single readings all crowd the same server at
-/// once.
+/// Averaging time for the number of requests that other sidecars have in flight at a server. A report is a
+/// second old when it arrives, and all sidecars read the same one: if they went by single reports, all of
+/// them would send to the same server at once.
 const OTHERS_AVERAGING_TIME: Millis = 3_000.0;
-/// Servers average their utilisation over about this time.
+/// Servers average the utilisation that they report over about this time.
 const SERVER_AVERAGING_TIME: Millis = 700.0;
-/// Reports tell κ while a server's utilisation, averaged over about this time, is below this.
+/// A report counts as low load, and updates κ, while the server's utilisation is below this on average over
+/// [`UTILISATION_AVERAGING_TIME`].
 const LOW_UTILISATION: f64 = 0.6;
 const UTILISATION_AVERAGING_TIME: Millis = 3_000.0;
-/// Where the list tells no sizes, busier reports count until so many calm ones are known: not saturated
-/// ones.
+/// If the server list gives no sizes, reports of busier servers update κ as well until this many low-load
+/// reports have come in. Reports of saturated servers never do.
 const ENOUGH_LOW_LOAD_REPORTS: f64 = 20.0;
 const SATURATED_UTILISATION: f64 = 0.9;
-/// Weight of a report in κ, which is a property of machines and does not change from one second to the
-/// next.
+/// Smallest weight of a report in κ. It is low because κ is a property of the machines, which does not change
+/// from one second to the next.
 const CAPACITY_SMOOTHING: f64 = 0.005;
-/// How many reports a listed size counts for.
+/// Number of reports that a size given by the server list counts for.
 const LISTED_CAPACITY_REPORTS: f64 = 20.0;
-/// A first try, by which the platform prices probes, pays for them with this share of its worth, and so many
-/// are saved up: all sidecars ask the same servers, so that more of them must ask less each.
+/// A client's first attempt earns this share of its worth for probes; the platform states the price of a
+/// probe in the same unit. All sidecars probe the same servers, so that the more sidecars there are, the
+/// fewer probes each may send.
 const PROBE_SPENDING_SHARE: f64 = 0.02;
+/// Largest number of probes that can be saved up.
 const MAX_PROBE_BUDGET: f64 = 8.0;
-/// Below this reported utilisation in-flight / utilisation is mostly rounding.
+/// Below this reported utilisation, the ratio of in-flight requests to utilisation is mostly rounding error.
 const MIN_REPORTED_UTILISATION: f64 = 0.1;
-/// Weight of a new sample in the slowness and the failure rate of one server.
+/// Weight of a new sample in the slowness and in the failure rate of one server.
 const SERVER_SMOOTHING: f64 = 0.15;
-/// Weight of a new sample in what all servers or all arrivals feed.
+/// Weight of a new sample in averages over all servers or over all arrivals.
 const GLOBAL_SMOOTHING: f64 = 0.02;
-/// The service time assumed at first, as a share of the class's aim.
+/// Initial estimate of the service time, as a share of the class's latency objective.
 const INITIAL_SERVICE_TIME_SHARE: f64 = 0.15;
-/// What was learnt of a server, its slowness or its load, fades over this time when nothing new is learnt.
+/// Estimates of one server's slowness and load decay over this time if no new samples come in.
 const ESTIMATE_DECAY_TIME: Millis = 2_000.0;
-/// An unanswered send counts as this share of an answer that took as long: service times spread.
+/// An unanswered attempt counts as an answer that took this share of the time it has been waiting. The share
+/// is below 1 because service times vary.
 const UNANSWERED_WEIGHT: f64 = 0.5;
-/// A send is accepted while its answer is expected after no more than this many times what it would take on
-/// an idle mean server, where nearly all that servers hold was sent by others: what three cores in use to
-/// three quarters come to by queueing theory. Beyond, queues grow faster than reports tell.
+/// Longest acceptable response time if nearly all load of the servers comes from other sidecars, as a
+/// multiple of the response time of an idle mean server. By queueing theory, three cores with a utilisation
+/// of three quarters reach this value. Above it, queues grow faster than load reports show.
 const MAX_SLOWDOWN: f64 = 1.75;
-/// Room shrinks while more of what was accepted is late than this: crowded servers slow down unforeseen.
+/// Headroom shrinks while more than this share of the accepted requests is answered late: crowded servers
+/// slow down in ways that the estimates do not predict.
 const LATE_ANSWERS_TARGET: f64 = 0.15;
-/// How strongly a request's chance depends on what it earns, where nearly all is refused; half as strongly
-/// where this share is; and how much smaller than that of others a chance may become.
+/// Exponent that weights a request's relative worth in its admission probability when nearly all requests are
+/// rejected.
 const PRIORITY_STRENGTH: f64 = 0.8;
+/// Rejection rate at which the exponent is half of [`PRIORITY_STRENGTH`].
 const PRIORITY_HALF_STRENGTH_AT: f64 = 0.1;
+/// Lower bound for the factor that a class's worth contributes to the admission probability.
 const MIN_PRIORITY_FACTOR: f64 = 0.7;
-/// A server is sent no more than it works on at once and a share of that to wait there, and its wait may be
-/// longer by that share: this one for a sidecar by itself, less the more share it and send unseen. What waits
-/// at a server slows it down; what waits at a client does not.
+/// A server is sent at most as many requests as it works on at once, and this share of them in addition, to
+/// queue there. Its response time may be longer by the same share. This value applies to a sidecar that does
+/// not share its servers. Requests that queue at a server slow it down; those that wait at a client do not.
 const EXTRA_QUEUE_SHARE: f64 = 1.5;
+/// The share is divided by the number of sidecars per server to this power, since a sidecar does not see
+/// what the others send.
 const EXTRA_QUEUE_EXPONENT: f64 = 0.7;
-/// A server this little used, with one request more, counts as idle.
+/// A server counts as idle if one more request keeps its utilisation at or below this.
 const IDLE_UTILISATION: f64 = 0.5;
-/// And so does one that holds no more than this with it, whatever its size is taken for.
+/// A server also counts as idle if it holds at most this many requests including the new one, whatever its
+/// estimated capacity.
 const IDLE_REQUESTS: f64 = 2.0;
-/// Pairs drawn for a request at the most: a near one and one of all, and so many more by the share that a
-/// sidecar sees of the load. The more are drawn in a full fleet, the likelier a server is found that only an
-/// old report calls free, and all sidecars find the same.
+/// Largest number of pairs that are drawn for a request. The first value stands for one pair from the own
+/// zone and one from all servers. The second value, times the excess of [`Balancer::visibility_factor`] over
+/// 1, is added: a sidecar that sees more of the load may draw more. While all servers are full, each further
+/// draw makes it likelier to find a server that is free by an outdated report only, and all sidecars find the
+/// same one.
 const MAX_PAIRS: [f64; 2] = [2.0, 4.0];
-/// A sidecar deals with a subset of the servers: it hears of each in time, and its connections are open.
-/// So many sidecars share each server, which chance spreads evenly enough (by a sixth), and so many servers
-/// are the least to choose among.
+/// A sidecar uses a subset of the servers, so that it hears of each one's load in time and keeps connections
+/// to it open. About this many sidecars share each server. The random choice of subsets spreads the number by
+/// a sixth, which is even enough.
 const SIDECARS_PER_SERVER: f64 = 32.0;
+/// Smallest number of servers in a subset.
 const MIN_SUBSET_SIZE: f64 = 16.0;
-/// What late answers taught of room fades over this time.
+/// The effect of late answers on the headroom fades over this time.
 const HEADROOM_RECOVERY_TIME: Millis = 20_000.0;
-/// A refused client is asked to stay away for up to this share of its aim.
+/// Upper bound for the Retry-After time of a rejected client, as a share of its latency objective.
 const RETRY_AFTER_SHARE: f64 = 0.3;
-/// An attempt is given at least this multiple of its expected time before another is tried.
+/// An attempt may take at least this multiple of its expected latency before a retry replaces it.
 const TIMEOUT_MULTIPLE: f64 = 4.0;
-/// What is out for this many service times, while the server answers others, is taken for lost.
+/// An attempt that is unanswered for this many service times, while the server answers others, counts as
+/// lost.
 const LOST_AFTER_SERVICE_TIMES: f64 = 5.0;
-/// Time left to the aim when another attempt is tried, in service times.
+/// Time to reserve for a retry before the latency objective passes, in service times.
 const RETRY_RESERVE: f64 = 1.5;
-/// A server is ejected when its failure rate is this far above that of its peers.
+/// A server is ejected if its failure rate exceeds the mean rate of all servers by this margin.
 const EJECTION_MARGIN: f64 = 0.4;
-/// At most this share of the servers may be ejected: if more look bad, we or the network may be at fault.
+/// At most this share of the servers may be ejected. If more of them seem to fail, the fault may lie with
+/// this sidecar or the network.
 const MAX_EJECTED_SHARE: f64 = 0.4;
-/// First and longest time a server stays ejected before a trial.
+/// First and longest time that a server stays ejected before an ejection probe.
 const EJECTION_TIMES: [Millis; 2] = [1_000.0, 8_000.0];
-/// By how much a server's limit is cut each time that it turns a request away, and how far at the most.
+/// Factor by which a server's limit shrinks each time that the server rejects a request.
 const LIMIT_DECREASE: f64 = 0.75;
+/// Lower bound for the limit, as a share of the server's capacity.
 const MIN_LIMIT_FRACTION: f64 = 0.2;
-/// First and longest time for which a server that turned a request away is left alone.
+/// First and longest time for which no requests are sent to a server that has rejected one.
 const BACKOFF_TIMES: [Millis; 2] = [100.0, 1_600.0];
-/// The share of a cold server's allowance that a fleet's leases give out: speeds and costs are estimates.
+/// The share of the allowance of a server in slow start that the cluster hands out as leases. It is below 1
+/// because the speed of servers and the cost of requests are estimates.
 pub const SLOW_START_LEASE_SHARE: f64 = 0.5;
 
 /// The decision module of one sidecar. The same seed, settings and events give the same actions.
@@ -125,27 +145,27 @@
 }
 
 impl Balancer {
-    /// A module that knows nothing yet but its settings.
+    /// Creates a balancer that knows its settings only. `seed` determines its random choices.
     pub fn new(settings: Settings, seed: u64) -> Balancer {
-        // Until answers tell, a service time that leaves room for a queue and another try.
-        let service = |class: &Class| {
+        // Until answers come in, the estimated service time leaves time for a queue and for a retry.
+        let classes = |class: &Class| {
             ClassEstimate::new(class.aim * INITIAL_SERVICE_TIME_SHARE, Purse::full(class.budgets()))
         };
-        let service = settings.classes.iter().map(service).collect();
-        let seen = Estimates::new(service, settings.tenants.len(), Purse::full(settings.budgets()));
+        let classes = settings.classes.iter().map(classes).collect();
+        let estimates = Estimates::new(classes, settings.tenants.len(), Purse::full(settings.budgets()));
         Balancer {
             settings,
             rng: Rand64::new(u128::from(seed)),
             now: 0.0,
             requests: BTreeMap::new(),
             endpoints: Fleet::new(seed),
-            estimates: seen,
+            estimates,
             guidance: ClusterGuidance::default(),
             slow_start: SlowStart::new(seed),
         }
     }
 
-    /// Takes in one event and appends the actions that answer it.
+    /// Processes one event and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         self.endpoints.pass_time(self.now, &self.settings.safety);
@@ -166,10 +186,10 @@
             }
             Event::Abandoned(request) => self.close_request(request, actions),
             Event::Probed { upstream, answered, report } => self.on_probed(upstream, answered, report),
-            Event::Listed(news) => self.on_list_update(news),
-            Event::Guided(told) => {
+            Event::Listed(update) => self.on_list_update(update),
+            Event::Guided(guidance) => {
                 let before = self.budgets();
-                self.guidance.update(*told);
+                self.guidance.update(*guidance);
                 self.estimates.retry_budget = self.estimates.retry_budget.within(before, self.budgets());
             }
             Event::Reported { upstream, report, age } => self.record_report(upstream, report, age),
@@ -199,36 +219,37 @@
             *share += GLOBAL_SMOOTHING * (f64::from(u8::from(number == pending.tenant.0)) - *share);
         }
         let density = self.worth_density(pending.class);
-        let usual = self.estimates.mean_worth_density.get_or_insert(density);
-        *usual += GLOBAL_SMOOTHING * (density - *usual);
+        let mean = self.estimates.mean_worth_density.get_or_insert(density);
+        *mean += GLOBAL_SMOOTHING * (density - *mean);
         self.slow_start.arrived(id, class.aim * INITIAL_SERVICE_TIME_SHARE);
         self.requests.insert(request, pending);
-        // Asked whether or not they are drawn: the others hear of these servers by this sidecar alone.
+        // The cluster assigns these servers to this sidecar alone, and the other members get their load from
+        // it. They are probed even if no request draws them.
         self.guidance.next_probe().into_iter().for_each(|id| self.probe(id, actions));
         match self.guidance.admission_probability(id) {
-            Some(chance) if self.rng.rand_float() >= chance => {
+            Some(probability) if self.rng.rand_float() >= probability => {
                 self.reject_or_fail(request, Reason::Shed, actions)
             }
             _ => self.dispatch(request, actions),
         }
     }
 
-    /// Sends a request to the best place there is, or ends it.
+    /// Sends a request to the best available server, or ends it if no server has headroom for it.
     fn dispatch(&mut self, request: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&request).cloned() else { return };
-        let to = self.choose_server(request, &pending, actions);
+        let chosen = self.choose_server(request, &pending, actions);
         self.estimates.rejection_rate +=
-            GLOBAL_SMOOTHING * (f64::from(u8::from(to.is_none())) - self.estimates.rejection_rate);
-        match to {
-            Some(to) => {
-                self.send(request, to, self.endpoints.serving(self.guidance.ring(&pending)) > 1, actions)
+            GLOBAL_SMOOTHING * (f64::from(u8::from(chosen.is_none())) - self.estimates.rejection_rate);
+        match chosen {
+            Some(chosen) => {
+                self.send(request, chosen, self.endpoints.serving(self.guidance.ring(&pending)) > 1, actions)
             }
             None => self.reject_or_fail(request, self.endpoints.lack(self.guidance.ring(&pending)), actions),
         }
     }
 
-    /// Draws pairs until one has a member with room; it goes to the one with the smaller projected
-    /// utilisation.
+    /// Draws pairs until one of them contains a server with headroom for the request. Of a pair, the server
+    /// with the smaller projected utilisation is preferred.
     fn choose_server(
         &mut self,
         request: RequestId,
@@ -236,107 +257,126 @@
         actions: &mut Vec<Action>,
     ) -> Option<Candidate> {
         let ring = self.guidance.ring(pending);
-        let within = self.eligible_endpoints(ring, pending)?;
-        let spared = self.endpoints.count(ring, &[Pool::Warm, Pool::Cold]) > pending.attempts.len();
-        let (room, left) = (self.slowdown_limit(), self.headroom_scale() * self.time_to_objective(pending));
-        let most = self.visibility_factor() * self.headroom_scale();
-        let favoured = self.rng.rand_float() < self.admission_probability(pending);
-        // An idle one always has room: a service time learnt in a jam would lock everyone out.
-        // What bounds a cold one is its allowance: unheard of, it seems to hold what warm ones hold.
-        let bounded =
-            |to: &Candidate| to.expected_slowdown <= room && to.occupancy <= most * to.limit_fraction;
-        let fits = |to: &Candidate| to.expected_latency <= left && (to.pool == Pool::Cold || bounded(to));
+        let eligible = self.eligible_endpoints(ring, pending)?;
+        let untried_left = self.endpoints.count(ring, &[Pool::Warm, Pool::Cold]) > pending.attempts.len();
+        let (max_slowdown, max_latency) =
+            (self.slowdown_limit(), self.headroom_scale() * self.time_to_objective(pending));
+        let max_occupancy = self.visibility_factor() * self.headroom_scale();
+        let admitted = self.rng.rand_float() < self.admission_probability(pending);
+        // An idle server always has headroom. Otherwise a service time that was measured under congestion
+        // could lock out all requests. A server in slow start is bounded by its allowance instead: while
+        // nothing is known of its load, it is assumed to hold as many requests as the warm servers.
+        let within_limits = |server: &Candidate| {
+            server.expected_slowdown <= max_slowdown
+                && server.occupancy <= max_occupancy * server.limit_fraction
+        };
+        let has_headroom = |server: &Candidate| {
+            server.expected_latency <= max_latency && (server.pool == Pool::Cold || within_limits(server))
+        };
         let (mut last, mut cold_drawn) = ([None; 3], false);
         let pairs = (MAX_PAIRS[0] + MAX_PAIRS[1] * (self.visibility_factor() - 1.0)).round() as usize;
         for round in 0.. {
-            // One that a cold pair was drawn in vain for does not count.
+            // A pair does not count if it only offered a server in slow start that may not be sent more.
             if round >= pairs + usize::from(cold_drawn) {
                 break;
             }
-            let from = match within {
-                // A near server that has room answers sooner; its limit keeps it from being filled up.
+            let from = match eligible {
+                // A server in the own zone answers sooner if it has headroom. Its limit protects it from
+                // being filled up.
                 From::Ready if round == 0 && self.settings.crossing_fee > 0.0 => From::Near,
-                // What a cold pair must not be sent yet goes to warm servers: clients would only ask again.
+                // If a server in slow start may not take the request yet, the next draw is from warm servers.
+                // A rejected client would only send the request again.
                 From::Ready if cold_drawn => From::Warm,
-                within => within,
+                eligible => eligible,
             };
             let drawn = self.draw(ring, from, round, pending);
-            let Some(ids) = drawn.map(|drawn| drawn.map(|to| to.map(|to| to.id))) else { continue };
+            let Some(ids) = drawn.map(|drawn| drawn.map(|server| server.map(|server| server.id))) else {
+                continue;
+            };
             last = drawn.unwrap_or_default();
-            let mut by_use = last;
-            by_use.sort_by_key(|to| {
-                to.map_or(OrderedFloat(f64::MAX), |to| OrderedFloat(to.projected_utilisation))
+            let mut by_utilisation = last;
+            by_utilisation.sort_by_key(|server| {
+                server.map_or(OrderedFloat(f64::MAX), |server| OrderedFloat(server.projected_utilisation))
             });
-            for to in by_use.into_iter().flatten() {
-                // One that has just failed this request is the likeliest to fail it again.
-                let failed = spared && pending.attempts.iter().any(|t| t.upstream == to.id);
-                let others = to.pool == Pool::Trial && !self.guidance.may_send_ejection_probe(to.id);
-                let waits = (to.pool == Pool::Waiting || others) && from != From::Everyone;
-                if failed || waits || to.backing_off || !(to.idle || favoured && fits(&to)) {
+            for server in by_utilisation.into_iter().flatten() {
+                // A server that has just failed this request is the likeliest to fail it again.
+                let failed = untried_left && pending.attempts.iter().any(|a| a.upstream == server.id);
+                let probed_by_others =
+                    server.pool == Pool::Trial && !self.guidance.may_send_ejection_probe(server.id);
+                let ejected = (server.pool == Pool::Waiting || probed_by_others) && from != From::Everyone;
+                if failed
+                    || ejected
+                    || server.backing_off
+                    || !(server.idle || admitted && has_headroom(&server))
+                {
                     continue;
                 }
-                cold_drawn |= to.pool == Pool::Cold;
-                if self.admits(&to) {
+                cold_drawn |= server.pool == Pool::Cold;
+                if self.admits(&server) {
                     ids.into_iter().flatten().for_each(|id| self.probe(id, actions));
-                    return Some(to);
+                    return Some(server);
                 }
             }
         }
-        // A pair is asked all the same: else none would ever be seen to have room again.
-        last.iter().flatten().for_each(|drawn| self.probe(drawn.id, actions));
+        // The last pair is probed even so. Otherwise the servers' estimates could never show free capacity
+        // again.
+        last.iter().flatten().for_each(|server| self.probe(server.id, actions));
         self.log_rejection(request, pending, &last, actions);
         None
     }
 
-    /// Whom a request may go to, by what may have run already.
+    /// Returns the servers that a request may go to, given its earlier attempts that may have run.
     fn eligible_endpoints(&self, ring: Option<usize>, pending: &PendingRequest) -> Option<From> {
-        // Everyone looks bad: rather ask someone than no one.
+        // If all servers are ejected, any of them is better than none.
         let healthy = self.endpoints.count(ring, &[Pool::Warm, Pool::Cold]) > 0;
-        let anyone = Some(if healthy { From::Ready } else { From::Everyone });
-        let Some(first) = pending.attempts.iter().find(|t| t.pending || t.may_have_run) else {
-            return anyone;
-        };
+        let any = Some(if healthy { From::Ready } else { From::Everyone });
+        let Some(first) = pending.attempts.iter().find(|a| a.pending || a.may_have_run) else { return any };
         match self.settings.classes[pending.class.0].effect {
-            Effect::Repeatable => anyone,
+            Effect::Repeatable => any,
             Effect::Once => None,
-            // The window counts from the first send that may have run; a tick is kept in hand.
+            // The deduplication window starts with the first attempt that may have run. One tick is kept as a
+            // safety margin.
             Effect::ByKey { window, .. }
                 if self.now + self.settings.limits.tick >= first.sent_at + window =>
             {
                 None
             }
-            Effect::ByKey { scope: Scope::All, .. } => anyone,
+            Effect::ByKey { scope: Scope::All, .. } => any,
             Effect::ByKey { scope: Scope::Zone, .. } => Some(From::Zone(first.zone)),
             Effect::ByKey { scope: Scope::Cell, .. } => Some(From::Cell(first.cell)),
         }
     }
 
-    /// How many times its service time an answer may take, less while answers are late. The same for all: by
-    /// what its time leaves of its aim, the class that takes longest would bear all refusals. Its own wait
-    /// must only make its aim.
+    /// Returns the longest acceptable response time as a multiple of the service time. It shrinks while
+    /// answers are late. The limit is the same for all classes: if it depended on how much of the latency
+    /// objective the service time leaves, the class with the longest service time would take all rejections.
+    /// A request's own expected latency only has to meet its latency objective.
     pub(crate) fn slowdown_limit(&self) -> f64 {
         MAX_SLOWDOWN * self.visibility_factor() * self.headroom_scale()
     }
 
-    /// How much more than where nearly all comes from others may be sent to a server, since more of what it
-    /// holds is known: own sends at once and exactly, others' by reports a second old and the fleet's mean.
+    /// Returns how much more this sidecar may send to a server than one for which nearly all load comes from
+    /// others. It knows its own attempts exactly and at once, but those of the others only by reports that
+    /// are a second old, and by the mean of all servers.
     fn visibility_factor(&self) -> f64 {
         1.0 + EXTRA_QUEUE_SHARE / self.estimates.sidecars_per_server.max(1.0).powf(EXTRA_QUEUE_EXPONENT)
     }
 
-    /// The chance that a request may go to a server that is not idle: what earns less than the usual for its
-    /// service time stands back, the more so the more has to be refused. A chance and not a tighter limit:
-    /// where sidecars know little but the fleet's mean, a limit lets in all of a class or nothing.
+    /// Returns the probability that a request may go to a server that is not idle. A request that earns less
+    /// than the mean for its service time has a lower one, the more so the more requests are rejected. It is
+    /// a probability and not a tighter limit: where sidecars know little more than the mean of all servers,
+    /// a limit admits either all requests of a class or none.
     fn admission_probability(&self, pending: &PendingRequest) -> f64 {
         let density = self.worth_density(pending.class);
-        let usual = self.estimates.mean_worth_density.unwrap_or(density);
+        let mean = self.estimates.mean_worth_density.unwrap_or(density);
         let strength = PRIORITY_STRENGTH * self.estimates.rejection_rate
             / (self.estimates.rejection_rate + PRIORITY_HALF_STRENGTH_AT);
-        (density / usual).powf(strength).clamp(MIN_PRIORITY_FACTOR, 1.0)
+        (density / mean).powf(strength).clamp(MIN_PRIORITY_FACTOR, 1.0)
             * self.worth_fraction(pending).powf(strength)
     }
 
-    /// What was learnt of late answers fades: after a jam hardly any answers come to unlearn it by.
+    /// Returns the factor by which late answers reduce the headroom at present. The reduction fades with
+    /// time, since after congestion hardly any answers come in that could undo it.
     pub(crate) fn headroom_scale(&self) -> f64 {
         decay_to_one(
             self.estimates.headroom_scale,
@@ -345,7 +385,8 @@
         )
     }
 
-    /// What a request of a class earns for its service time, which a worth that counts by work has in it.
+    /// Returns what a request of a class earns per unit of service time. A worth that is stated per unit of
+    /// work already is that figure.
     fn worth_density(&self, class: ClassId) -> f64 {
         let work = if self.settings.worth_by_work {
             1.0
@@ -355,8 +396,9 @@
         self.settings.classes[class.0].worth.max(f64::MIN_POSITIVE) / work
     }
 
-    /// The share of its class's worth that a request earns. No sidecar can know which tenants are over their
-    /// quota; those with more of our arrivals than of all quotas are the likeliest.
+    /// Returns the share of its class's worth that a request is expected to earn. No sidecar can know which
+    /// tenants exceed their quota. The likeliest ones are those whose share of this sidecar's arrivals is
+    /// larger than their share of all quotas.
     fn worth_fraction(&self, pending: &PendingRequest) -> f64 {
         let quotas: f64 = self.settings.tenants.iter().map(|tenant| tenant.quota_per_s).sum();
         let quota = self.settings.tenants.get(pending.tenant.0).map_or(0.0, |tenant| tenant.quota_per_s);
@@ -365,182 +407,200 @@
         within + (1.0 - within) * self.settings.over_quota_worth
     }
 
-    /// Time until the answer loses its worth.
+    /// Returns the time until an answer no longer meets the latency objective or the deadline.
     pub(crate) fn time_to_objective(&self, pending: &PendingRequest) -> Millis {
         pending.deadline.min(pending.arrived_at + self.settings.classes[pending.class.0].aim) - self.now
     }
 
-    /// Ends a request: refused where that is safe to say, else failed.
+    /// Ends a request. It is rejected if the client may safely send it again, and fails otherwise.
     fn reject_or_fail(&mut self, request: RequestId, reason: Reason, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.remove(&request) else { return };
         let safe = match self.settings.classes[pending.class.0].effect {
             Effect::Repeatable | Effect::ByKey { scope: Scope::All, .. } => true,
-            Effect::ByKey { .. } | Effect::Once => !pending.attempts.iter().any(|t| t.may_have_run),
+            Effect::ByKey { .. } | Effect::Once => !pending.attempts.iter().any(|a| a.may_have_run),
         };
         if safe {
-            // Soon enough to make its aim yet, and spread: all that were refused together come back.
+            // The retry should come early enough to meet the latency objective. The times are spread, since
+            // all clients that were rejected together return.
             let spread = self.guidance.retry_after_fraction(self.rng.rand_float());
-            let soon = RETRY_AFTER_SHARE * self.settings.classes[pending.class.0].aim * spread;
-            let retry_after = soon.min(self.settings.limits.max_retry_after);
+            let delay = RETRY_AFTER_SHARE * self.settings.classes[pending.class.0].aim * spread;
+            let retry_after = delay.min(self.settings.limits.max_retry_after);
             actions.push(Action::Refuse { request, retry_after, reason });
         } else {
             actions.push(Action::Fail(request));
         }
     }
 
-    // --- A server as it looks now ------------------------------------------------------------
+    // --- Evaluation of a server --------------------------------------------------------------
 
-    /// A server's projected utilisation and expected answer time for this request.
+    /// Returns a server's projected utilisation and its expected response time for a request. Returns `None`
+    /// if the server is unknown or the request may not go to its zone.
     pub(crate) fn evaluate(&self, id: UpstreamId, pending: &PendingRequest) -> Option<Candidate> {
         let server = self.endpoints.get(id).filter(|server| self.guidance.allows(pending, server.zone))?;
-        let (in_flight, kappa) = (self.estimated_in_flight(server), self.capacity(server));
-        let warmth = server.warm_fraction(self.now, &self.settings.safety);
-        let slowness = self.slowness(server) / warmth;
-        let used = (in_flight + 1.0) / kappa;
-        let depth = used.max(1.0);
+        let (in_flight, capacity) = (self.estimated_in_flight(server), self.capacity(server));
+        let warm_fraction = server.warm_fraction(self.now, &self.settings.safety);
+        let slowness = self.slowness(server) / warm_fraction;
+        let occupancy = (in_flight + 1.0) / capacity;
+        let queue_depth = occupancy.max(1.0);
         Some(Candidate {
             id,
             pool: server.placement.map_or(Pool::Waiting, |(_, pool)| pool),
-            warm_fraction: warmth,
-            projected_utilisation: used * slowness,
-            occupancy: used,
-            queue_depth: depth,
+            warm_fraction,
+            projected_utilisation: occupancy * slowness,
+            occupancy,
+            queue_depth,
             backing_off: self.now < server.backoff_until,
             limit_fraction: if self.has_known_capacity(server) {
                 server.limit_fraction_at(self.now)
             } else {
                 f64::MAX
             },
-            // An empty one is idle whatever its size: else nothing could ever correct what was learnt.
-            idle: in_flight + 1.0 <= (IDLE_UTILISATION * kappa).max(IDLE_REQUESTS),
-            expected_slowdown: slowness * depth,
-            expected_latency: self.estimates.classes[pending.class.0].service_time * slowness * depth,
+            // A server without requests is idle whatever its estimated capacity. Otherwise a wrong estimate
+            // could never be corrected.
+            idle: in_flight + 1.0 <= (IDLE_UTILISATION * capacity).max(IDLE_REQUESTS),
+            expected_slowdown: slowness * queue_depth,
+            expected_latency: self.estimates.classes[pending.class.0].service_time * slowness * queue_depth,
         })
     }
 
-    /// κ: how many requests a server works on at once. Its listed weight says how it compares with others
-    /// of its kind, and what reports below saturation say of the kind as a whole how large that is.
+    /// Returns κ, the number of requests that a server works on at once. The listed weight compares servers of
+    /// one kind with each other. The scale of a kind comes from reports below saturation.
     pub(crate) fn capacity(&self, upstream: &Upstream) -> f64 {
         let kind = self.estimates.kinds.get(&upstream.kind).unwrap_or(&self.estimates.all_servers);
         (upstream.weight * kind.capacity_per_weight()).max(0.1)
     }
 
-    /// Whether κ is known well enough to hold a server to it.
+    /// Returns whether κ is known well enough to limit a server's requests by it.
     fn has_known_capacity(&self, upstream: &Upstream) -> bool {
-        let calm = self.estimates.kinds.get(&upstream.kind).map_or(0.0, |kind| kind.low_load_reports);
-        self.settings.sizes_listed || calm >= ENOUGH_LOW_LOAD_REPORTS
+        let reports = self.estimates.kinds.get(&upstream.kind).map_or(0.0, |kind| kind.low_load_reports);
+        self.settings.sizes_listed || reports >= ENOUGH_LOW_LOAD_REPORTS
     }
 
-    /// m: what others have there by its reports, and our own sends, of which we know at once. An unheard
-    /// server takes the mean of the known ones.
+    /// Returns m, the estimated number of requests in flight at a server: what others have there by its
+    /// reports, plus this sidecar's own attempts, which it knows at once. A server without reports is assumed
+    /// to have the mean of the known servers.
     fn estimated_in_flight(&self, upstream: &Upstream) -> f64 {
         let age = (self.now - upstream.reported_at - REPORT_STALE_AGE).max(0.0);
-        let (usual, told) = self.others(upstream);
-        let others = usual + (told - usual) * (-age / ESTIMATE_DECAY_TIME).exp();
-        // What is out for long while the server answers others is lost or hangs, and holds no place there.
-        let longest = self.estimates.classes.iter().map(|service| service.service_time).fold(1.0, f64::max);
+        let (mean, reported) = self.others(upstream);
+        let others = mean + (reported - mean) * (-age / ESTIMATE_DECAY_TIME).exp();
+        // An attempt that stays unanswered for long while the server answers others is lost or hangs. It
+        // does not occupy the server.
+        let longest = self.estimates.classes.iter().map(|class| class.service_time).fold(1.0, f64::max);
         let since = self.now - LOST_AFTER_SERVICE_TIMES * longest * self.decayed_slowness(upstream).max(1.0);
         let lost = if upstream.last_answer_at < since {
             0
         } else {
-            upstream.outstanding.partition_point(|o| o.sent_at < since)
+            upstream.outstanding.partition_point(|attempt| attempt.sent_at < since)
         };
         (upstream.outstanding.len() - lost) as f64 + others
     }
 
-    /// Service time relative to the mean server, from answers and from sends that are long unanswered.
+    /// Returns a server's service time relative to the mean server, from its answers and from attempts that
+    /// have been unanswered for long.
     fn slowness(&self, upstream: &Upstream) -> f64 {
         let learnt = self.decayed_slowness(upstream);
-        // A server that hangs gives no answers to learn from: the time since its last one tells.
-        let ageing = upstream.outstanding.first().map_or(0.0, |oldest| {
+        // A server that hangs gives no answers to learn from. The time since its last answer counts instead.
+        let unanswered = upstream.outstanding.first().map_or(0.0, |oldest| {
             UNANSWERED_WEIGHT * (self.now - oldest.sent_at.max(upstream.last_answer_at))
                 / (oldest.candidate.queue_depth * self.estimates.classes[oldest.class.0].service_time)
         });
-        learnt.max(ageing).max(0.05)
+        learnt.max(unanswered).max(0.05)
     }
 
-    /// What answers told of its slowness; as that is forgotten, the slowness of its kind takes its place.
+    /// Returns the slowness that a server's answers have shown. As this estimate gets old, it decays to the
+    /// mean slowness of the server's kind.
     fn decayed_slowness(&self, upstream: &Upstream) -> f64 {
         let kind = self.estimates.kinds.get(&upstream.kind).filter(|kind| kind.answer_count > 0.0);
-        let pace = kind.unwrap_or(&self.estimates.all_servers).mean_slowness;
-        pace + (upstream.slowness - pace)
+        let mean = kind.unwrap_or(&self.estimates.all_servers).mean_slowness;
+        mean + (upstream.slowness - mean)
             * (-(self.now - upstream.slowness_updated_at) / ESTIMATE_DECAY_TIME).exp()
     }
 
+    /// Probes a server's load if its report is old enough, no probe is under way and the budget allows it.
     fn probe(&mut self, id: UpstreamId, actions: &mut Vec<Action>) {
-        let asks =
+        let may =
             self.guidance.may_probe(id) && self.settings.limits.probes && self.estimates.probe_budget >= 1.0;
-        let Some(upstream) = self.endpoints.get_mut(id).filter(|server| asks && server.serving) else {
-            return;
-        };
-        let waiting = upstream.probe_sent_at.is_some_and(|sent| self.now - sent < REPORT_STALE_AGE);
-        if !waiting && self.now - upstream.reported_at > REPORT_REFRESH_AGE {
-            upstream.probe_sent_at = Some(self.now);
+        let Some(server) = self.endpoints.get_mut(id).filter(|server| may && server.serving) else { return };
+        let waiting = server.probe_sent_at.is_some_and(|sent_at| self.now - sent_at < REPORT_STALE_AGE);
+        if !waiting && self.now - server.reported_at > REPORT_REFRESH_AGE {
+            server.probe_sent_at = Some(self.now);
             self.estimates.probe_budget -= 1.0;
             actions.push(Action::Probe(id));
         }
     }
 
-    fn send(&mut self, request: RequestId, to: Candidate, others: bool, actions: &mut Vec<Action>) {
+    /// Starts an attempt. `has_alternatives` tells whether a retry could go to another server.
+    fn send(
+        &mut self,
+        request: RequestId,
+        candidate: Candidate,
+        has_alternatives: bool,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(pending) = self.requests.get(&request) else { return };
-        let timeout = self.attempt_timeout(pending, to, others);
+        let timeout = self.attempt_timeout(pending, candidate, has_alternatives);
         let (class, attempt) = (pending.class, AttemptNo(pending.attempts.len() as u32));
-        let may = self.settings.limits.duplicates && pending.attempts.is_empty();
-        if let Some(copy) = self.settings.classes[class.0].policy.second_copy.filter(|_| may) {
-            let after = copy.after.ms(self.estimates.classes[class.0].hedge_delay);
-            actions.push(Action::WakeAt { at: self.now + after, token: request.0 << 1 | 1 });
+        let may_hedge = self.settings.limits.duplicates && pending.attempts.is_empty();
+        if let Some(hedge) = self.settings.classes[class.0].policy.second_copy.filter(|_| may_hedge) {
+            let delay = hedge.after.ms(self.estimates.classes[class.0].hedge_delay);
+            actions.push(Action::WakeAt { at: self.now + delay, token: request.0 << 1 | 1 });
         }
-        let Some(upstream) = self.endpoints.get_mut(to.id) else { return };
+        let Some(upstream) = self.endpoints.get_mut(candidate.id) else { return };
         upstream.outstanding.push(OutstandingAttempt {
             request,
             attempt,
             class,
             sent_at: self.now,
-            candidate: to,
+            candidate,
         });
-        let this = Attempt::new(to.id, upstream, self.now);
+        let started = Attempt::new(candidate.id, upstream, self.now);
         if let Some(pending) = self.requests.get_mut(&request) {
-            pending.attempts.push(this);
+            pending.attempts.push(started);
         }
-        self.guidance.record_send(&to);
-        if to.warm_fraction < 1.0 {
-            self.slow_start.sent(to.id, self.now, self.settings.safety.fall);
+        self.guidance.record_send(&candidate);
+        if candidate.warm_fraction < 1.0 {
+            self.slow_start.sent(candidate.id, self.now, self.settings.safety.fall);
         }
-        self.endpoints.settle(to.id, &self.settings.safety);
-        actions.push(Action::Send { request, upstream: to.id, timeout });
+        self.endpoints.settle(candidate.id, &self.settings.safety);
+        actions.push(Action::Send { request, upstream: candidate.id, timeout });
     }
 
-    /// Long enough for this attempt, short enough for another to make the aim. What waits at a server past
-    /// the time at which its answer is worth anything is in the way of others.
-    fn attempt_timeout(&self, pending: &PendingRequest, to: Candidate, others: bool) -> Millis {
+    /// Returns the timeout of an attempt: long enough for the attempt, short enough for a retry to meet the
+    /// latency objective. A request that stays at a server after its answer has lost all worth delays others.
+    fn attempt_timeout(
+        &self,
+        pending: &PendingRequest,
+        candidate: Candidate,
+        has_alternatives: bool,
+    ) -> Millis {
         let class = &self.settings.classes[pending.class.0];
-        let most = class.policy.attempt_timeout.map_or(f64::MAX, |most| most.0);
-        let end = if class.late_worth > 0.0 {
+        let longest = class.policy.attempt_timeout.map_or(f64::MAX, |timeout| timeout.0);
+        let useful = if class.late_worth > 0.0 {
             pending.deadline - self.now
         } else {
             self.time_to_objective(pending)
         };
-        let left = end.max(0.0).min(most);
+        let left = useful.max(0.0).min(longest);
         let last = pending.attempts.len() as u32 + 1 >= self.settings.limits.max_attempts;
         let retries = self.estimates.retry_budget.holds(Further::Retry, self.budgets());
-        if last || !others || class.effect == Effect::Once || !retries {
+        if last || !has_alternatives || class.effect == Effect::Once || !retries {
             return left;
         }
         let spare = pending.arrived_at + class.aim
             - self.now
             - RETRY_RESERVE * self.estimates.classes[pending.class.0].service_time;
-        spare.max(TIMEOUT_MULTIPLE * to.expected_latency).min(left)
+        spare.max(TIMEOUT_MULTIPLE * candidate.expected_latency).min(left)
     }
 
-    /// Goes on with the request after an attempt has ended.
+    /// Ends, retries or closes a request after one of its attempts has ended.
     fn on_finished(&mut self, end: Finished, actions: &mut Vec<Action>) {
         let (request, outcome) = (end.request, end.outcome);
         let Some(pending) = self.requests.get_mut(&request) else { return };
-        let Some(this) = pending.attempts.get_mut(end.attempt.0 as usize).filter(|t| t.pending) else {
+        let Some(attempt) = pending.attempts.get_mut(end.attempt.0 as usize).filter(|a| a.pending) else {
             return;
         };
-        this.pending = false;
-        this.may_have_run = outcome.may_have_run();
+        attempt.pending = false;
+        attempt.may_have_run = outcome.may_have_run();
         let late = self.now > pending.arrived_at + self.settings.classes[pending.class.0].aim;
         let step = if outcome == Outcome::Full { 0.0 } else { GLOBAL_SMOOTHING }
             * (LATE_ANSWERS_TARGET - f64::from(u8::from(late)));
@@ -549,69 +609,73 @@
         if end.closed || outcome == Outcome::Ok {
             return self.close_request(request, actions);
         }
-        let no_copy_out = |pending: &&PendingRequest| !pending.attempts.iter().any(|t| t.pending);
-        let Some(pending) = self.requests.get(&request).filter(no_copy_out) else { return };
+        let none_pending = |pending: &&PendingRequest| !pending.attempts.iter().any(|a| a.pending);
+        let Some(pending) = self.requests.get(&request).filter(none_pending) else { return };
         let policy = &self.settings.classes[pending.class.0].policy;
         let (sends, ran) =
-            (pending.attempts.len() as u32, pending.attempts.iter().filter(|t| t.may_have_run).count());
+            (pending.attempts.len() as u32, pending.attempts.iter().filter(|a| a.may_have_run).count());
         let attempts_left =
             sends < self.settings.limits.max_attempts && policy.follows(outcome.failure(), sends, ran as u32);
-        let pause = policy.backoff.map_or(0.0, |backoff| backoff.pause_ms(sends, self.rng.rand_float()));
-        let worth_it = self.time_to_objective(pending) > pause && outcome != Outcome::NotSent;
-        // What never left this machine costs no server anything.
+        let backoff = policy.backoff.map_or(0.0, |backoff| backoff.pause_ms(sends, self.rng.rand_float()));
+        let worth_it = self.time_to_objective(pending) > backoff && outcome != Outcome::NotSent;
+        // An attempt that never left this machine costs no server anything.
         let is_free = outcome == Outcome::LocalFailure;
         match attempts_left && worth_it && (is_free || self.spend_budget(pending.class, Further::Retry)) {
-            true if pause > 0.0 => {
-                actions.push(Action::WakeAt { at: self.now + pause, token: request.0 << 1 })
+            true if backoff > 0.0 => {
+                actions.push(Action::WakeAt { at: self.now + backoff, token: request.0 << 1 })
             }
             true => self.dispatch(request, actions),
             false => self.reject_or_fail(request, Reason::Overload, actions),
         }
     }
 
-    /// How many further sends all requests together may have: by the fleet, else by the settings.
+    /// Returns the budgets for retries and hedged requests of all classes together. Those of the cluster take
+    /// precedence over the settings.
     pub(crate) fn budgets(&self) -> Budgets {
         self.guidance.budgets(self.settings.budgets())
     }
 
-    /// Takes one of the further sends that all requests together and those of the class may have.
+    /// Takes one retry or hedged request from the common budget and from that of the class. Returns whether
+    /// both allow it.
     fn spend_budget(&mut self, class: ClassId, kind: Further) -> bool {
-        let (all, own) = (self.budgets(), self.settings.classes[class.0].budgets());
-        let purses = [
-            (&mut self.estimates.retry_budget, all),
+        let (common, own) = (self.budgets(), self.settings.classes[class.0].budgets());
+        let budgets = [
+            (&mut self.estimates.retry_budget, common),
             (&mut self.estimates.classes[class.0].retry_budget, own),
         ];
-        purse::spend(kind, purses)
+        purse::spend(kind, budgets)
     }
 
-    /// A pause before another send is over, or it is time for a second copy.
-    fn on_timer(&mut self, request: RequestId, copy: bool, actions: &mut Vec<Action>) {
+    /// Sends a retry whose backoff has ended or, if `hedge` is set, a hedged request.
+    fn on_timer(&mut self, request: RequestId, hedge: bool, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&request).cloned() else { return };
         match &pending.attempts[..] {
-            [.., _] if !copy && !pending.attempts.iter().any(|t| t.pending) => {
+            [.., _] if !hedge && !pending.attempts.iter().any(|a| a.pending) => {
                 self.dispatch(request, actions)
             }
-            // Elsewhere or not at all: behind the first it would only wait as well.
-            [first] if copy && first.pending && self.settings.limits.max_attempts > 1 => {
-                let to = self.choose_server(request, &pending, actions).filter(|to| to.id != first.upstream);
-                if let Some(to) = to.filter(|_| self.spend_budget(pending.class, Further::Copy)) {
-                    self.send(request, to, false, actions);
+            // The hedge goes to another server or is not sent: behind the first attempt it would only wait
+            // in the same queue.
+            [first] if hedge && first.pending && self.settings.limits.max_attempts > 1 => {
+                let chosen =
+                    self.choose_server(request, &pending, actions).filter(|to| to.id != first.upstream);
+                if let Some(chosen) = chosen.filter(|_| self.spend_budget(pending.class, Further::Copy)) {
+                    self.send(request, chosen, false, actions);
                 }
             }
             _ => {}
         }
     }
 
-    /// Forgets a request that has its answer, and stops what is still out for it.
+    /// Removes a request that needs no answer any more, and cancels its pending attempts.
     fn close_request(&mut self, request: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.remove(&request) else { return };
         let cancel = self.settings.limits.cancel;
-        for (number, _) in pending.attempts.iter().enumerate().filter(|(_, t)| t.pending && cancel) {
+        for (number, _) in pending.attempts.iter().enumerate().filter(|(_, a)| a.pending && cancel) {
             actions.push(Action::Cancel { request, attempt: AttemptNo(number as u32) });
         }
     }
 
-    /// Learns from an attempt's end, whether or not its request is still held.
+    /// Updates the estimates from the end of an attempt, even if its request is already closed.
     fn record_outcome(&mut self, end: Finished, actions: &mut Vec<Action>) {
         let Finished { upstream: id, outcome, latency, .. } = end;
         let Some(upstream) = self.endpoints.get_mut(id) else { return };
@@ -619,9 +683,9 @@
         let silent = upstream.last_answer_at <= sent.sent_at;
         self.endpoints.settle(id, &self.settings.safety);
         self.endpoints.forget(id);
-        // Where a copy has won, the one that it overtook says as much as one whose time was up.
-        let copied = self.settings.classes[sent.class.0].policy.second_copy.is_some();
-        if matches!(outcome, Outcome::Ok | Outcome::TimedOut) || (copied && outcome == Outcome::Cancelled) {
+        // If one of two hedged attempts wins, the cancelled one says as much about its server as a timeout.
+        let hedged = self.settings.classes[sent.class.0].policy.second_copy.is_some();
+        if matches!(outcome, Outcome::Ok | Outcome::TimedOut) || (hedged && outcome == Outcome::Cancelled) {
             self.update_service_estimates(id, sent, latency, outcome == Outcome::Ok);
         }
         if let Some(report) = end.report {
@@ -631,7 +695,8 @@
         let failed = match outcome {
             Outcome::Ok => false,
             Outcome::Error | Outcome::Unreachable | Outcome::Reset => true,
-            // Under overload good servers time out too; one that answered nothing in all that time hangs.
+            // Under overload, attempts to healthy servers time out as well. A server that has answered nothing
+            // during all of that time hangs.
             Outcome::TimedOut if silent && latency >= TIMEOUT_MULTIPLE * sent.candidate.expected_latency => {
                 true
             }
@@ -640,16 +705,17 @@
         self.update_health(id, failed, actions);
     }
 
-    /// A server that turned a request away takes less than its size tells: fewer are held there for a
-    /// while. One that does so at once is left alone as well, longer each time: it looks idle by its counts
-    /// and would win every draw. Neither is a failure of the server, nor tells it anything of the others.
+    /// Lowers the limit of a server that has rejected a request, since it takes less than its capacity
+    /// suggests. The limit recovers with time. A server that rejects at once is also avoided for a while,
+    /// longer each time: by its in-flight count it looks idle and would win every draw. Neither is a failure
+    /// of the server, and neither affects the estimates of other servers.
     fn reduce_limit(&mut self, end: Finished, sent: OutstandingAttempt, actions: &mut Vec<Action>) {
         let Finished { upstream: id, outcome, latency, .. } = end;
         let Some(server) = self.endpoints.get_mut(id) else { return };
         if outcome == Outcome::Ok {
             server.backoff_duration = 0.0;
         }
-        // One that was sent before the limit was cut says nothing of what it is now.
+        // An attempt that was sent before the last reduction says nothing about the present limit.
         if outcome != Outcome::Full || sent.sent_at < server.limit_updated_at {
             return;
         }
@@ -665,8 +731,8 @@
         actions.push(Action::Log { about: None, text });
     }
 
-    /// An answer tells the class's service time and this server's pace, with the queue taken out; a
-    /// time-out tells that the server is at least this slow.
+    /// Updates the class's service time and the server's slowness from an attempt's latency, without the time
+    /// in the queue. A timeout shows that the server is at least this slow.
     fn update_service_estimates(
         &mut self,
         id: UpstreamId,
@@ -674,35 +740,38 @@
         latency: Millis,
         answered: bool,
     ) {
-        // What a cold server takes longer is no sign of crowding, nor of the speed it will have.
+        // The additional latency of a server in slow start indicates neither queueing nor its later speed.
         let Some(server) = self.endpoints.get(id).filter(|_| latency > 0.0) else { return };
-        let (known, warmth) =
+        let (known, warm_fraction) =
             (self.decayed_slowness(server), server.warm_fraction(self.now, &self.settings.safety));
         let Some(upstream) = self.endpoints.get_mut(id) else { return };
-        let alone = latency * warmth / sent.candidate.queue_depth;
-        let service = &mut self.estimates.classes[sent.class.0];
-        let pace = alone / service.service_time;
-        let (seen, weight) =
-            if answered { (pace, SERVER_SMOOTHING) } else { (known.max(UNANSWERED_WEIGHT * pace), 1.0) };
-        upstream.slowness = known + weight * (seen - known);
+        let without_queue = latency * warm_fraction / sent.candidate.queue_depth;
+        let class = &mut self.estimates.classes[sent.class.0];
+        let slowness = without_queue / class.service_time;
+        let (sample, weight) = if answered {
+            (slowness, SERVER_SMOOTHING)
+        } else {
+            (known.max(UNANSWERED_WEIGHT * slowness), 1.0)
+        };
+        upstream.slowness = known + weight * (sample - known);
         upstream.slowness_updated_at = self.now;
-        self.estimates.kinds.entry(upstream.kind).or_default().add_answer(seen, GLOBAL_SMOOTHING);
-        self.estimates.all_servers.add_answer(seen, GLOBAL_SMOOTHING);
+        self.estimates.kinds.entry(upstream.kind).or_default().add_answer(sample, GLOBAL_SMOOTHING);
+        self.estimates.all_servers.add_answer(sample, GLOBAL_SMOOTHING);
         upstream.last_answer_at = if answered { self.now } else { upstream.last_answer_at };
-        // The median of sends that met no queue tells the service time: behind one that we underrate,
-        // answers are late, and a service time learnt from them would have us refuse work that there is
-        // room for.
+        // The service time is the median over attempts that met no queue. If the queue of a server is
+        // underestimated, its answers are late, and a service time learnt from them would lead to rejections
+        // while there is capacity.
         if answered && sent.candidate.queue_depth <= 1.0 {
-            service.add_sample(alone, GLOBAL_SMOOTHING);
-            if warmth >= 1.0 {
+            class.add_sample(without_queue, GLOBAL_SMOOTHING);
+            if warm_fraction >= 1.0 {
                 let assumed = self.settings.classes[sent.class.0].aim * INITIAL_SERVICE_TIME_SHARE;
-                self.slow_start.answered(sent.class, alone, assumed);
+                self.slow_start.answered(sent.class, without_queue, assumed);
             }
         }
-        let copy = self.settings.classes[sent.class.0].policy.second_copy.filter(|_| answered);
-        if let Some(share) = copy.and_then(|copy| copy.after.share()) {
-            service.hedge_delay *=
-                1.0 + GLOBAL_SMOOTHING * (share - f64::from(u8::from(latency <= service.hedge_delay)));
+        let hedge = self.settings.classes[sent.class.0].policy.second_copy.filter(|_| answered);
+        if let Some(share) = hedge.and_then(|hedge| hedge.after.share()) {
+            class.hedge_delay *=
+                1.0 + GLOBAL_SMOOTHING * (share - f64::from(u8::from(latency <= class.hedge_delay)));
         }
     }
 
@@ -714,78 +783,80 @@
         }
     }
 
-    /// Takes in a server's own figures as they were so long ago, unless newer ones are known.
+    /// Records a server's load report that is `age` old, unless a newer one is known.
     fn record_report(&mut self, id: UpstreamId, report: Report, age: Millis) {
         let at = self.now - age.max(0.0);
-        let Some(upstream) = self.endpoints.get_mut(id).filter(|server| at >= server.reported_at) else {
+        let Some(server) = self.endpoints.get_mut(id).filter(|server| at >= server.reported_at) else {
             return;
         };
         let Some(in_flight) = report.in_flight.filter(|m| m.is_finite() && *m >= 0.0) else { return };
-        // Reports are renewed now and then: one that comes again is no news, and would count for more than
-        // one.
+        // Servers refresh their reports from time to time. A repeated report holds no new information and
+        // must not count twice.
         let figures =
             [report.in_flight, report.utilisation, report.served_per_s].map(|f| f.unwrap_or(-1.0) as f32);
-        let again = std::mem::replace(&mut upstream.last_report, figures) == figures;
-        if again && upstream.reported_at > self.now - REPORT_STALE_AGE {
-            upstream.reported_at = at;
+        let repeated = std::mem::replace(&mut server.last_report, figures) == figures;
+        if repeated && server.reported_at > self.now - REPORT_STALE_AGE {
+            server.reported_at = at;
             return;
         }
-        let since = at - upstream.reported_at;
+        let since = at - server.reported_at;
         let utilisation = report.utilisation.filter(|u| *u >= 0.0).map(|u| u.min(1.0));
         if let Some(utilisation) = utilisation {
-            upstream.mean_utilisation += (1.0 - (-since / UTILISATION_AVERAGING_TIME).exp())
-                * (utilisation - upstream.mean_utilisation);
-        }
-        let others = (in_flight - upstream.outstanding.len() as f64).max(0.0);
-        upstream.others_in_flight +=
-            (1.0 - (-since / OTHERS_AVERAGING_TIME).exp()) * (others - upstream.others_in_flight);
-        upstream.reported_at = at;
-        // By time: where many sidecars share the probes, reports are too rare here to average by their count.
+            server.mean_utilisation +=
+                (1.0 - (-since / UTILISATION_AVERAGING_TIME).exp()) * (utilisation - server.mean_utilisation);
+        }
+        let others = (in_flight - server.outstanding.len() as f64).max(0.0);
+        server.others_in_flight +=
+            (1.0 - (-since / OTHERS_AVERAGING_TIME).exp()) * (others - server.others_in_flight);
+        server.reported_at = at;
+        // The mean of all servers moves by elapsed time. If many sidecars share the probes, reports arrive
+        // too rarely here for an average by their count.
         let elapsed = self.now - std::mem::replace(&mut self.estimates.others_updated_at, self.now);
         let step = GLOBAL_SMOOTHING.max(1.0 - (-elapsed / OTHERS_AVERAGING_TIME).exp());
-        self.estimates.others_in_flight +=
-            step * (upstream.others_in_flight - self.estimates.others_in_flight);
+        self.estimates.others_in_flight += step * (server.others_in_flight - self.estimates.others_in_flight);
         let Some(utilisation) = utilisation.filter(|u| *u >= MIN_REPORTED_UTILISATION) else { return };
-        // Servers that start with us begin their mean at 0: early ratios would call them huge.
+        // Servers that start together with this sidecar begin their averages at 0. Early ratios of in-flight
+        // requests to utilisation would overestimate their capacity by far.
         if self.now < *self.estimates.first_report_at.get_or_insert(self.now) + 2.0 * SERVER_AVERAGING_TIME {
             return;
         }
-        // A queue is in the in-flight count, too, so that a busy server's ratio tells how busy it is and
-        // not how large, and serves only until calm ones are known. Whether it is busy is told by its slow
-        // mean: chosen by the moment, the ratio would lean to one side.
-        let calm = upstream.mean_utilisation < LOW_UTILISATION && utilisation < SATURATED_UTILISATION;
-        let any = !self.settings.sizes_listed && utilisation < SATURATED_UTILISATION;
+        // The in-flight count includes queued requests. The ratio of a busy server therefore shows how busy
+        // it is and not how large, and is used only until low-load reports are known. The server's slow
+        // average decides whether it is busy: a selection by single reports would bias the ratio.
+        let low_load = server.mean_utilisation < LOW_UTILISATION && utilisation < SATURATED_UTILISATION;
+        let any_load = !self.settings.sizes_listed && utilisation < SATURATED_UTILISATION;
         let prior = if self.settings.sizes_listed { LISTED_CAPACITY_REPORTS } else { 1.0 };
-        let (id, per_weight) = (upstream.kind, in_flight / upstream.weight);
+        let (id, per_weight) = (server.kind, in_flight / server.weight);
         for kind in [self.estimates.kinds.entry(id).or_default(), &mut self.estimates.all_servers] {
-            if calm || (any && kind.low_load_reports < ENOUGH_LOW_LOAD_REPORTS) {
+            if low_load || (any_load && kind.low_load_reports < ENOUGH_LOW_LOAD_REPORTS) {
                 let step = CAPACITY_SMOOTHING.max(1.0 / (1.0 + prior + kind.report_count));
-                kind.add_report(per_weight, utilisation, step, calm);
+                kind.add_report(per_weight, utilisation, step, low_load);
             }
         }
     }
 
-    /// Counts an outcome for or against a server: outlier ejection with half-open trials.
+    /// Counts an outcome for or against a server. This is outlier ejection with half-open ejection probes.
     fn update_health(&mut self, id: UpstreamId, failed: bool, actions: &mut Vec<Action>) {
         let count = self.endpoints.serving(None) as f64;
-        let bar = EJECTION_MARGIN + self.endpoints.mean_failure_rate();
+        let threshold = EJECTION_MARGIN + self.endpoints.mean_failure_rate();
         let ejected = self.endpoints.count(None, &[Pool::Trial, Pool::Waiting]) as f64;
         let may_eject = count > 1.0 && ejected + 1.0 <= (MAX_EJECTED_SHARE * count).max(1.0);
-        let (now, spread) = (self.now, 0.75 + 0.5 * self.rng.rand_float());
+        let (now, jitter) = (self.now, 0.75 + 0.5 * self.rng.rand_float());
         let rate = self.endpoints.count_failure(id, failed, SERVER_SMOOTHING);
         let Some(upstream) = self.endpoints.get_mut(id) else { return };
-        let eject = |wait: Millis| Health::Ejected { until: now + wait * spread, duration: wait };
+        let eject = |duration: Millis| Health::Ejected { until: now + duration * jitter, duration };
         match upstream.health {
-            Health::Ready if failed && may_eject && rate > bar => {
+            Health::Ready if failed && may_eject && rate > threshold => {
                 upstream.health = eject(EJECTION_TIMES[0]);
                 actions
                     .push(Action::Log { about: None, text: format!("server {} ejected for failures", id.0) });
             }
-            Health::Ejected { until, duration: wait } if failed && now >= until => {
-                upstream.health = eject((wait * 2.0).min(EJECTION_TIMES[1]));
+            Health::Ejected { until, duration } if failed && now >= until => {
+                upstream.health = eject((duration * 2.0).min(EJECTION_TIMES[1]));
             }
-            // Only a trial brings it back: answers to what was sent before it was ejected still come in.
-            Health::Ejected { until, .. } if !failed && now >= until && rate < bar => {
+            // Only an ejection probe returns a server to service. Answers to attempts from before the
+            // ejection still arrive and must not.
+            Health::Ejected { until, .. } if !failed && now >= until && rate < threshold => {
                 upstream.health = Health::Ready;
                 actions
                     .push(Action::Log { about: None, text: format!("server {} is back after trials", id.0) });
@@ -795,22 +866,23 @@
         self.endpoints.settle(id, &self.settings.safety);
     }
 
-    /// Another sidecar's trial ended: the server is back here as well, or left alone for longer.
+    /// Applies the result of another sidecar's ejection probe: the server returns to service here as well, or
+    /// stays ejected for longer.
     fn on_ejection_probe_result(&mut self, id: UpstreamId, well: bool) {
         let Some(upstream) = self.endpoints.get_mut(id) else { return };
-        let Health::Ejected { duration: wait, .. } = upstream.health else { return };
-        let longer = Health::Ejected { until: self.now + wait, duration: wait };
-        upstream.health = if well { Health::Ready } else { longer };
+        let Health::Ejected { duration, .. } = upstream.health else { return };
+        let extended = Health::Ejected { until: self.now + duration, duration };
+        upstream.health = if well { Health::Ready } else { extended };
         self.endpoints.settle(id, &self.settings.safety);
     }
 
     // --- The server list ---------------------------------------------------------------------
 
-    fn on_list_update(&mut self, news: ListNews) {
-        let whole = !matches!(news, ListNews::Changed(_));
-        let (ListNews::Restored(list) | ListNews::Complete(list) | ListNews::Changed(list)) = news;
-        // Who is missing from a complete list is gone.
-        if whole {
+    fn on_list_update(&mut self, update: ListNews) {
+        let complete = !matches!(update, ListNews::Changed(_));
+        let (ListNews::Restored(list) | ListNews::Complete(list) | ListNews::Changed(list)) = update;
+        // A server that is missing from a complete list is gone.
+        if complete {
             self.endpoints.keep_only(&list);
         }
         let (home, safety) = (self.settings.zone, &self.settings.safety);
@@ -819,6 +891,8 @@
         self.select_subset();
     }
 
+    /// Selects the subset of servers that this sidecar uses, and updates the number of sidecars that share a
+    /// server.
     fn select_subset(&mut self) {
         let sidecars = f64::from(self.settings.sidecars.max(1));
         let subset = |serving: usize| (SIDECARS_PER_SERVER * serving as f64 / sidecars).max(MIN_SUBSET_SIZE);
