--- a/crates/sagemast/src/balancer.rs
+++ b/crates/sagemast/src/balancer.rs
@@ -290,9 +290,7 @@
                 eligible => eligible,
             };
             let drawn = self.draw(ring, from, round, pending);
-            let Some(ids) = drawn.map(|drawn| drawn.map(|server| server.map(|server| server.id))) else {
-                continue;
-            };
+            let Some(ids) = drawn.map(|drawn| drawn.map(|s| s.map(|s| s.id))) else { continue };
             last = drawn.unwrap_or_default();
             let mut by_utilisation = last;
             by_utilisation.sort_by_key(|server| {
@@ -596,11 +594,11 @@
     fn on_finished(&mut self, end: Finished, actions: &mut Vec<Action>) {
         let (request, outcome) = (end.request, end.outcome);
         let Some(pending) = self.requests.get_mut(&request) else { return };
-        let Some(attempt) = pending.attempts.get_mut(end.attempt.0 as usize).filter(|a| a.pending) else {
+        let Some(ended) = pending.attempts.get_mut(end.attempt.0 as usize).filter(|a| a.pending) else {
             return;
         };
-        attempt.pending = false;
-        attempt.may_have_run = outcome.may_have_run();
+        ended.pending = false;
+        ended.may_have_run = outcome.may_have_run();
         let late = self.now > pending.arrived_at + self.settings.classes[pending.class.0].aim;
         let step = if outcome == Outcome::Full { 0.0 } else { GLOBAL_SMOOTHING }
             * (LATE_ANSWERS_TARGET - f64::from(u8::from(late)));
@@ -695,8 +693,8 @@
         let failed = match outcome {
             Outcome::Ok => false,
             Outcome::Error | Outcome::Unreachable | Outcome::Reset => true,
-            // Under overload, attempts to healthy servers time out as well. A server that has answered nothing
-            // during all of that time hangs.
+            // Under overload, attempts to healthy servers time out as well. A server that has not answered any
+            // request in all of that time hangs.
             Outcome::TimedOut if silent && latency >= TIMEOUT_MULTIPLE * sent.candidate.expected_latency => {
                 true
             }
@@ -786,9 +784,7 @@
     /// Records a server's load report that is `age` old, unless a newer one is known.
     fn record_report(&mut self, id: UpstreamId, report: Report, age: Millis) {
         let at = self.now - age.max(0.0);
-        let Some(server) = self.endpoints.get_mut(id).filter(|server| at >= server.reported_at) else {
-            return;
-        };
+        let Some(server) = self.endpoints.get_mut(id).filter(|s| at >= s.reported_at) else { return };
         let Some(in_flight) = report.in_flight.filter(|m| m.is_finite() && *m >= 0.0) else { return };
         // Servers refresh their reports from time to time. A repeated report holds no new information and
         // must not count twice.
