--- a/crates/sagemast/src/balancer.rs
+++ b/crates/sagemast/src/balancer.rs
@@ -594,11 +594,11 @@
     fn on_finished(&mut self, end: Finished, actions: &mut Vec<Action>) {
         let (request, outcome) = (end.request, end.outcome);
         let Some(pending) = self.requests.get_mut(&request) else { return };
-        let Some(ended) = pending.attempts.get_mut(end.attempt.0 as usize).filter(|a| a.pending) else {
+        let Some(attempt) = pending.attempts.get_mut(end.attempt.0 as usize).filter(|a| a.pending) else {
             return;
         };
-        ended.pending = false;
-        ended.may_have_run = outcome.may_have_run();
+        attempt.pending = false;
+        attempt.may_have_run = outcome.may_have_run();
         let late = self.now > pending.arrived_at + self.settings.classes[pending.class.0].aim;
         let step = if outcome == Outcome::Full { 0.0 } else { GLOBAL_SMOOTHING }
             * (LATE_ANSWERS_TARGET - f64::from(u8::from(late)));
