--- a/crates/sagemast/src/cluster_guidance.rs
+++ b/crates/sagemast/src/cluster_guidance.rs
@@ -1,5 +1,7 @@
-//! What the fleet told this sidecar, and what that comes to for one request or one server. Nothing is decided here: the
-//! fleet did, and what it left out is the module's own.
+//! The cluster's guidance for this sidecar, and its meaning for a single request or server.
+//!
+//! This module makes no decisions: the cluster has made those that the guidance contains, and the balancer
+//! makes those that it leaves open.
 
 use std::ops::Bound;
 
@@ -9,107 +11,115 @@
 use crate::api::*;
 use crate::state::{Candidate, PendingRequest};
 
-/// What the fleet told last.
+/// The guidance that the cluster sent last.
 #[derive(Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct ClusterGuidance {
     current: Guidance,
-    /// Whom its duties last had asked.
+    /// The assigned server that was probed last.
     last_probed: Option<UpstreamId>,
-    /// Where requests may go.
+    /// The zones that requests may go to. Without it, they may go anywhere.
     pub residency: Option<Residency>,
 }
 
 impl ClusterGuidance {
-    /// Takes other guidance in place of what there is. What was sent of a lease stays sent while the lease is the same.
-    pub fn update(&mut self, mut told: Guidance) {
-        for (id, lease) in told.cold.iter_mut().flatten() {
-            let held = self.current.cold.as_ref().and_then(|cold| cold.get(id));
-            if let Some(held) = held.filter(|held| held.until == lease.until) {
-                lease.requests = lease.requests.min(held.requests);
+    /// Replaces the guidance. A lease with an unchanged end time is the same lease: requests that were
+    /// already sent under it still count.
+    pub fn update(&mut self, mut guidance: Guidance) {
+        for (id, lease) in guidance.cold.iter_mut().flatten() {
+            let known = self.current.cold.as_ref().and_then(|cold| cold.get(id));
+            if let Some(known) = known.filter(|known| known.until == lease.until) {
+                lease.requests = lease.requests.min(known.requests);
             }
         }
-        self.current = told;
+        self.current = guidance;
     }
 
-    /// Budgets of further sends of all classes, given what the settings say.
-    pub fn budgets(&self, [retries, copies]: Budgets) -> Budgets {
-        [self.current.retries.map(Into::into).or(retries), self.current.copies.map(Into::into).or(copies)]
+    /// Returns the budgets for retries and hedged requests of all classes together: the cluster's, or else
+    /// those of the settings, which are the arguments.
+    pub fn budgets(&self, [retries, hedges]: Budgets) -> Budgets {
+        [self.current.retries.map(Into::into).or(retries), self.current.copies.map(Into::into).or(hedges)]
     }
 
-    /// The chance that an arrival may be sent at all.
+    /// Returns the probability with which the cluster admits requests of a class. `None` admits all of them.
     pub fn admission_probability(&self, class: ClassId) -> Option<f64> {
         self.current.admit.get(class.0).copied()
     }
 
-    /// Whether this sidecar may ask a server for its load.
+    /// Returns whether this sidecar may probe a server's load.
     pub fn may_probe(&self, id: UpstreamId) -> bool {
-        self.current.probes.as_ref().is_none_or(|duties| duties.contains(&id))
+        self.current.probes.as_ref().is_none_or(|assigned| assigned.contains(&id))
     }
 
-    /// The next of the servers whose load it is to ask for.
+    /// Returns the next of the servers that the cluster assigns to this sidecar for load probes, in turn.
     pub fn next_probe(&mut self) -> Option<UpstreamId> {
-        let duties = self.current.probes.as_ref()?;
+        let assigned = self.current.probes.as_ref()?;
         let after = self.last_probed.map_or(Bound::Unbounded, Bound::Excluded);
-        self.last_probed = duties.range((after, Bound::Unbounded)).next().or(duties.first()).copied();
+        self.last_probed = assigned.range((after, Bound::Unbounded)).next().or(assigned.first()).copied();
         self.last_probed
     }
 
-    /// Whether it may try an ejected server whose time is up.
+    /// Returns whether this sidecar may send an ejection probe to a server whose ejection time is over.
     pub fn may_send_ejection_probe(&self, id: UpstreamId) -> bool {
         self.current.trials.as_ref().is_none_or(|trials| trials.contains(&id))
     }
 
-    /// Whether leases say what servers in slow start are sent.
+    /// Returns whether leases limit what this sidecar sends to servers in slow start.
     pub fn has_slow_start_leases(&self) -> bool {
         self.current.cold.is_some()
     }
 
-    /// Whether a server may be sent one more by what was leased of it; nothing where it is not cold, or nothing is leased.
-    pub fn lease_allows(&self, to: &Candidate, now: Millis) -> Option<bool> {
-        let cold = self.current.cold.as_ref().filter(|_| to.warm_fraction < 1.0)?;
-        Some(cold.get(&to.id).is_some_and(|lease| lease.requests > 0 && now < lease.until))
+    /// Returns whether the lease on a server allows one more request. Returns `None` if the server is not in
+    /// slow start or if there are no leases at all.
+    pub fn lease_allows(&self, server: &Candidate, now: Millis) -> Option<bool> {
+        let leases = self.current.cold.as_ref().filter(|_| server.warm_fraction < 1.0)?;
+        Some(leases.get(&server.id).is_some_and(|lease| lease.requests > 0 && now < lease.until))
     }
 
-    /// Counts what was sent against the lease.
-    pub fn record_send(&mut self, to: &Candidate) {
-        let lease = self.current.cold.as_mut().and_then(|cold| cold.get_mut(&to.id));
-        if let Some(lease) = lease.filter(|_| to.warm_fraction < 1.0) {
+    /// Counts a request that was just sent against the server's lease.
+    pub fn record_send(&mut self, server: &Candidate) {
+        let lease = self.current.cold.as_mut().and_then(|leases| leases.get_mut(&server.id));
+        if let Some(lease) = lease.filter(|_| server.warm_fraction < 1.0) {
             lease.requests = lease.requests.saturating_sub(1);
         }
     }
 
-    /// Where a share of a span comes to lie within the slice of it that is this sidecar's.
-    pub fn retry_after_fraction(&self, share: f64) -> f64 {
-        self.current.come_back.map_or(share, |[from, to]| (from + (to - from) * share).clamp(0.0, 1.0))
+    /// Maps a fraction of the Retry-After span into the part of the span that the cluster assigns to this
+    /// sidecar. Without an assignment, the fraction stays as it is.
+    pub fn retry_after_fraction(&self, fraction: f64) -> f64 {
+        self.current.come_back.map_or(fraction, |[from, to]| (from + (to - from) * fraction).clamp(0.0, 1.0))
     }
 
-    /// The ring of zones that a request is drawn from, where it has one.
-    pub fn ring(&self, held: &PendingRequest) -> Option<usize> {
-        self.residency.as_ref()?.ring(held.class, held.tenant)
+    /// Returns the index of the ring of zones that a request's servers are drawn from, if it has one.
+    pub fn ring(&self, pending: &PendingRequest) -> Option<usize> {
+        self.residency.as_ref()?.ring(pending.class, pending.tenant)
     }
 
-    /// Whether a request may go to a zone.
-    pub fn allows(&self, held: &PendingRequest, zone: ZoneId) -> bool {
-        self.residency.as_ref().is_none_or(|within| within.allows(held.class, held.tenant, zone))
+    /// Returns whether a request may go to a zone.
+    pub fn allows(&self, pending: &PendingRequest, zone: ZoneId) -> bool {
+        self.residency.as_ref().is_none_or(|residency| residency.allows(pending.class, pending.tenant, zone))
     }
 }
 
 impl Residency {
-    /// The place of a class's ring; of one that is not there, where nothing was told of the class.
+    /// Returns the index of a class's ring. A class without an entry gets the index of a ring that does not
+    /// exist and may go nowhere: its rules are not known yet.
     fn ring_of_class(&self, class: ClassId) -> Option<usize> {
         self.classes.get(class.0).copied().unwrap_or(Some(usize::MAX))
     }
 
+    /// Returns the index of a tenant's ring. A tenant without an entry may go anywhere.
     fn ring_of_tenant(&self, tenant: TenantId) -> Option<usize> {
         self.tenants.get(tenant.0).copied().flatten()
     }
 
-    /// The ring that a request is drawn from.
+    /// Returns the index of the ring that a request's servers are drawn from. The class's ring takes
+    /// precedence.
     fn ring(&self, class: ClassId, tenant: TenantId) -> Option<usize> {
         self.ring_of_class(class).or(self.ring_of_tenant(tenant))
     }
 
-    /// Whether a request may go to a zone: by its class and by its tenant.
+    /// Returns whether a request may go to a zone. Both the ring of its class and that of its tenant must
+    /// allow the zone.
     pub fn allows(&self, class: ClassId, tenant: TenantId, zone: ZoneId) -> bool {
         let rings = [self.ring_of_class(class), self.ring_of_tenant(tenant)];
         rings
--- a/crates/sagemast/src/explain.rs
+++ b/crates/sagemast/src/explain.rs
@@ -1,15 +1,16 @@
-//! Tells the operators on what grounds a request found no server. Nothing is decided here.
+//! Logs why no server was found for a request. This module makes no decisions.
 
 use crate::api::*;
 use crate::balancer::Balancer;
 use crate::groups::Pool;
 use crate::state::{Candidate, PendingRequest};
 
-/// The grounds of a refusal are told this often at most.
+/// Shortest time between two log lines about rejections.
 const REJECTION_LOG_INTERVAL: Millis = 1_000.0;
 
 impl Balancer {
-    /// Tells at most once a second on what grounds a request found no server.
+    /// Logs the figures behind the rejection of a request, and the servers in `last`, the last draw. Does
+    /// nothing if the previous line is less than [`REJECTION_LOG_INTERVAL`] old.
     pub(crate) fn log_rejection(
         &mut self,
         request: RequestId,
@@ -21,8 +22,8 @@
             return;
         }
         self.estimates.last_explained_at = self.now;
-        let seen = &self.estimates;
-        let told = |c: &Candidate| {
+        let estimates = &self.estimates;
+        let describe = |c: &Candidate| {
             let Candidate {
                 id,
                 pool,
@@ -33,7 +34,7 @@
             } = c;
             format!("{} {pool:?} wait={wait:.0} crowding={crowding:.1} used={used:.2}", id.0).to_lowercase()
         };
-        let drawn = match last.iter().flatten().map(told).collect::<Vec<_>>() {
+        let drawn = match last.iter().flatten().map(describe).collect::<Vec<_>>() {
             drawn if drawn.is_empty() => "none".to_owned(),
             drawn => format!("[{}]", drawn.join(", ")),
         };
@@ -48,12 +49,12 @@
             self.time_to_objective(pending),
             self.slowdown_limit(),
             pending.attempts.len(),
-            seen.classes[pending.class.0].service_time,
+            estimates.classes[pending.class.0].service_time,
             self.headroom_scale(),
-            seen.rejection_rate,
-            seen.all_servers.mean_slowness,
-            seen.all_servers.capacity_per_weight(),
-            seen.others_in_flight,
+            estimates.rejection_rate,
+            estimates.all_servers.mean_slowness,
+            estimates.all_servers.capacity_per_weight(),
+            estimates.others_in_flight,
         );
         let text = ring.map_or(text.clone(), |ring| format!("{text}; may only go to ring {ring}"));
         actions.push(Action::Log { about: Some(request), text });
--- a/crates/sagemast/src/serde_helpers.rs
+++ b/crates/sagemast/src/serde_helpers.rs
@@ -1,6 +1,7 @@
-//! How a checkpoint keeps what JSON has no numbers for.
+//! Serde helpers for values that JSON cannot represent as numbers.
 
-/// The state of the random numbers, in hexadecimal digits.
+/// Serializes the state of the random number generator as two strings of hexadecimal digits, since its
+/// 128-bit integers do not fit into JSON numbers.
 pub(crate) mod rng {
     use oorandom::Rand64;
     use serde::de::Error;
@@ -18,7 +19,7 @@
     }
 }
 
-/// A map as a list of pairs: JSON has no numbers for keys.
+/// Serializes a map as a list of key-value pairs, since JSON keys cannot be numbers.
 pub(crate) mod map_as_pairs {
     use std::collections::BTreeMap;
 
--- a/crates/sagemast/src/view.rs
+++ b/crates/sagemast/src/view.rs
@@ -1,44 +1,46 @@
-//! What the module knows, for who tells others of it. Nothing is decided here.
+//! Read access to what the balancer knows of servers and classes, for callers that share it with other
+//! sidecars. This module makes no decisions.
 
 use crate::api::*;
 use crate::balancer::Balancer;
 use crate::state::Health;
 
-/// A server that takes new work, as the module knows it.
+/// What the balancer knows of a server that takes new requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServerStatus {
-    /// Its id.
+    /// The server's id.
     pub upstream: UpstreamId,
-    /// Its zone.
+    /// The server's zone.
     pub zone: ZoneId,
-    /// How many requests it works on at once when it is warm.
+    /// How many requests the server works on at once after its slow start.
     pub capacity: f64,
-    /// The share of its size that it surely has.
+    /// The share of its capacity that the server has for certain: below 1 during slow start.
     pub warm_fraction: f64,
-    /// When it started, while that still leaves it less than warm.
+    /// When the server started. `None` once its slow start is over.
     pub started_at: Option<Millis>,
-    /// Whether it is ejected for failures.
+    /// Whether the server is ejected because of failures.
     pub ejected: bool,
 }
 
 impl Balancer {
-    /// All servers that take new work, whether or not this sidecar's subset has them.
+    /// Returns all servers that take new requests, including those outside this sidecar's subset.
     pub fn servers(&self, now: Millis) -> impl Iterator<Item = ServerStatus> {
         self.endpoints.each().filter(|(_, server)| server.serving).map(move |(upstream, server)| {
-            let warmth = server.warm_fraction(now, &self.settings.safety);
+            let warm_fraction = server.warm_fraction(now, &self.settings.safety);
             ServerStatus {
                 upstream,
                 zone: server.zone,
                 capacity: self.capacity(server),
-                warm_fraction: warmth,
-                started_at: server.started_at.filter(|_| warmth < 1.0),
+                warm_fraction,
+                started_at: server.started_at.filter(|_| warm_fraction < 1.0),
                 ejected: server.health != Health::Ready,
             }
         })
     }
 
-    /// How long a mean server takes for a request of a class, and whether answers have told so yet.
+    /// Returns the estimated service time of a class at a mean server, and whether it is based on answers yet
+    /// and not only on the initial value. Returns `None` for a class that does not exist.
     pub fn service_time(&self, class: ClassId) -> Option<(Millis, bool)> {
-        self.estimates.classes.get(class.0).map(|service| (service.service_time, service.samples > 0.0))
+        self.estimates.classes.get(class.0).map(|class| (class.service_time, class.samples > 0.0))
     }
 }
