--- a/crates/sagemast/src/balancer.rs
+++ b/crates/sagemast/src/balancer.rs
@@ -461,8 +461,8 @@
         })
     }
 
-    /// Returns κ, the number of requests that a server works on at once. The listed weight compares servers of
-    /// one kind with each other. The scale of a kind comes from reports below saturation.
+    /// Returns κ, the number of requests that a server works on at once. The listed weight compares servers
+    /// of one kind with each other. The scale of a kind comes from reports below saturation.
     pub(crate) fn capacity(&self, upstream: &Upstream) -> f64 {
         let kind = self.estimates.kinds.get(&upstream.kind).unwrap_or(&self.estimates.all_servers);
         (upstream.weight * kind.capacity_per_weight()).max(0.1)
