--- a/crates/sagemast/src/balancer.rs
+++ b/crates/sagemast/src/balancer.rs
@@ -693,8 +693,8 @@
         let failed = match outcome {
             Outcome::Ok => false,
             Outcome::Error | Outcome::Unreachable | Outcome::Reset => true,
-            // Under overload, attempts to healthy servers time out as well. A server that has not answered any
-            // request in all of that time hangs.
+            // Under overload, attempts to healthy servers time out as well. A server that has not answered
+            // any request in all of that time hangs.
             Outcome::TimedOut if silent && latency >= TIMEOUT_MULTIPLE * sent.candidate.expected_latency => {
                 true
             }
