--- a/crates/sagemast/tests/checkpoint.rs
+++ b/crates/sagemast/tests/checkpoint.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn a_checkpoint_holds_all_that_decides() {
-    let mut stage = Stage::new(settings(), (1..6).map(listing).collect());
+    let mut stage = Harness::new(settings(), (1..6).map(listing).collect());
     let mut dice = oorandom::Rand64::new(3);
     let mut sent = Vec::new();
     for step in 0..400_u32 {
@@ -46,7 +46,7 @@
         };
         let mut again = Vec::new();
         resumed.handle(stage.now, event.clone(), &mut again);
-        let did = stage.event(event);
+        let did = stage.handle(event);
         assert_eq!(did, again, "step {step}");
         sent.extend(did.iter().filter_map(|action| match action {
             Action::Send { request, upstream, .. } => Some((*request, *upstream)),
@@ -57,8 +57,8 @@
 
 #[test]
 fn a_checkpoint_fits_no_other_classes_or_tenants() {
-    let mut stage = Stage::new(settings(), (1..6).map(listing).collect());
-    stage.arrive(BY_ALL);
+    let mut stage = Harness::new(settings(), (1..6).map(listing).collect());
+    stage.arrive(GLOBALLY_KEYED);
     let text = serde_json::to_string(&stage.balancer).unwrap();
     let read = |text: &str| serde_json::from_str::<Balancer>(text).unwrap();
     let mut fewer = settings();
--- a/crates/sagemast/tests/classes.rs
+++ b/crates/sagemast/tests/classes.rs
@@ -34,7 +34,7 @@
 
 /// A sidecar that sees little of its fleet, and what it has out.
 struct World {
-    stage: Stage,
+    stage: Harness,
     ids: Vec<u64>,
     round: u64,
     out: Vec<(Millis, RequestId, UpstreamId, Millis)>,
@@ -43,7 +43,7 @@
 impl World {
     fn new(settings: Settings, ids: &[u64]) -> World {
         let list = ids.iter().map(|id| Listing { weight: 3.0, ..listing(*id) }).collect();
-        World { stage: Stage::new(settings, list), ids: ids.to_vec(), round: 0, out: Vec::new() }
+        World { stage: Harness::new(settings, list), ids: ids.to_vec(), round: 0, out: Vec::new() }
     }
 
     /// In each round of 50 ms one server, of which three in four hold `busy` requests and the others `free`, is heard
@@ -54,10 +54,10 @@
             stage.now += 50.0;
             let id = self.ids[(round * 7 % self.ids.len() as u64) as usize];
             let held = if id.is_multiple_of(4) { free } else { busy };
-            stage.report(id, held, (held / 3.0).min(1.0));
+            stage.report_load(id, held, (held / 3.0).min(1.0));
             let now = stage.now;
             for (_, request, to, took) in self.out.extract_if(.., |(at, ..)| *at <= now).collect::<Vec<_>>() {
-                stage.finish(request, 0, to, Outcome::Ok, took);
+                stage.finish_attempt(request, 0, to, Outcome::Ok, took);
             }
             let class = if round * 37 % 100 < cheap { CHEAP } else { DEAR };
             let (request, actions) = stage.arrive(class);
@@ -116,16 +116,16 @@
         let (mut settings, ids) = fleet([worth, 30.0]);
         settings.classes[CHEAP.0].aim = aim;
         let list = ids.iter().map(|id| Listing { weight: 3.0, ..listing(*id) }).collect();
-        let mut stage = Stage::new(settings, list);
+        let mut stage = Harness::new(settings, list);
         let mut sent = 0;
         for round in 0..400_u64 {
             stage.now += 50.0;
-            stage.report(round % 60, 1.0, 0.3);
+            stage.report_load(round % 60, 1.0, 0.3);
             let (request, actions) = stage.arrive([CHEAP, DEAR][(round % 2) as usize]);
             assert!(sent_to(&actions).is_some() || refused(&actions), "{worth} {aim}: {actions:?}");
             if let Some(to) = sent_to(&actions) {
                 sent += round % 2;
-                stage.finish(request, 0, to, Outcome::Ok, 40.0);
+                stage.finish_attempt(request, 0, to, Outcome::Ok, 40.0);
             }
         }
         assert!(sent > 190, "worth {worth}, aim {aim}: {sent} of 200 of the other class sent");
@@ -140,10 +140,10 @@
     let sent = |sidecars: u32| {
         let settings = Settings { sidecars, ..settings() };
         let list = (0..20).map(|id| Listing { weight: 4.0, ..listing(id) }).collect();
-        let mut stage = Stage::new(settings, list);
+        let mut stage = Harness::new(settings, list);
         // Utilisation under what tells sizes: no limit holds them back.
-        stage.settle(&(0..20).collect::<Vec<_>>(), 8.0, 0.05);
-        let arrived: Vec<_> = (0..50).map(|_| stage.arrive(REPEATABLE)).collect();
+        stage.report_steady_load(&(0..20).collect::<Vec<_>>(), 8.0, 0.05);
+        let arrived: Vec<_> = (0..50).map(|_| stage.arrive(IDEMPOTENT)).collect();
         arrived.iter().filter(|(_, actions)| sent_to(actions).is_some()).count()
     };
     assert_eq!((sent(2), sent(300)), (50, 0));
@@ -156,10 +156,10 @@
     let sent = |sidecars: u32, servers: u64| {
         let settings = Settings { sidecars, sizes_listed: true, ..settings() };
         let list = (0..servers).map(|id| Listing { weight: 10.0, ..listing(id) }).collect();
-        let mut stage = Stage::new(settings, list);
+        let mut stage = Harness::new(settings, list);
         // With one more they hold 1.1 times what they work on.
-        stage.settle(&(0..servers).collect::<Vec<_>>(), 10.0, 1.0);
-        let arrived: Vec<_> = (0..10).map(|_| stage.arrive(REPEATABLE)).collect();
+        stage.report_steady_load(&(0..servers).collect::<Vec<_>>(), 10.0, 1.0);
+        let arrived: Vec<_> = (0..10).map(|_| stage.arrive(IDEMPOTENT)).collect();
         arrived.iter().filter(|(_, actions)| sent_to(actions).is_some()).count()
     };
     assert_eq!((sent(32, 60), sent(100, 60), sent(300, 600)), (10, 10, 10), "32 sidecars share a server");
@@ -198,15 +198,15 @@
 fn the_few_free_servers_of_a_full_fleet_are_not_hunted_for() {
     let (settings, ids) = fleet([10.0, 10.0]);
     let list = ids.iter().map(|id| Listing { weight: 3.0, ..listing(*id) }).collect();
-    let mut stage = Stage::new(settings, list);
+    let mut stage = Harness::new(settings, list);
     let mut sent = 0;
     for _ in 0..1_000 {
         stage.now += 5.0;
-        ids.iter().for_each(|id| stage.report(*id, if id.is_multiple_of(12) { 0.0 } else { 6.0 }, 0.9));
+        ids.iter().for_each(|id| stage.report_load(*id, if id.is_multiple_of(12) { 0.0 } else { 6.0 }, 0.9));
         let (request, actions) = stage.arrive(DEAR);
         let Some(to) = sent_to(&actions) else { continue };
         sent += 1;
-        stage.finish(request, 0, to, Outcome::Ok, 4.0);
+        stage.finish_attempt(request, 0, to, Outcome::Ok, 4.0);
     }
     // 1 - (11/12)^4 is 0.29; by eight looks it is 0.50.
     assert!((200..400).contains(&sent), "{sent} of 1000 sent");
--- a/crates/sagemast/tests/common/mod.rs
+++ b/crates/sagemast/tests/common/mod.rs
@@ -4,17 +4,17 @@
 use sagemast::Balancer;
 use sagemast::api::*;
 
-pub const REPEATABLE: ClassId = ClassId(0);
-pub const BY_CELL: ClassId = ClassId(1);
-pub const ONCE: ClassId = ClassId(2);
-pub const BY_ZONE: ClassId = ClassId(3);
-pub const BY_ALL: ClassId = ClassId(4);
+pub const IDEMPOTENT: ClassId = ClassId(0);
+pub const CELL_KEYED: ClassId = ClassId(1);
+pub const NON_IDEMPOTENT: ClassId = ClassId(2);
+pub const ZONE_KEYED: ClassId = ClassId(3);
+pub const GLOBALLY_KEYED: ClassId = ClassId(4);
 
 pub fn class(effect: Effect) -> Class {
     Class { aim: 200.0, worth: 1.0, late_worth: 0.0, effect, policy: Default::default() }
 }
 
-pub fn keyed(scope: Scope) -> Class {
+pub fn keyed_class(scope: Scope) -> Class {
     class(Effect::ByKey { scope, window: 300.0 })
 }
 
@@ -22,10 +22,10 @@
     Settings {
         classes: vec![
             class(Effect::Repeatable),
-            keyed(Scope::Cell),
+            keyed_class(Scope::Cell),
             class(Effect::Once),
-            keyed(Scope::Zone),
-            keyed(Scope::All),
+            keyed_class(Scope::Zone),
+            keyed_class(Scope::All),
         ],
         tenants: Vec::new(),
         over_quota_worth: 1.0,
@@ -62,34 +62,34 @@
 }
 
 /// Drives one module and keeps what it did last.
-pub struct Stage {
+pub struct Harness {
     pub balancer: Balancer,
     pub now: Millis,
     next: u64,
     reports: f64,
 }
 
-impl Stage {
-    pub fn new(settings: Settings, servers: Vec<Listing>) -> Stage {
-        Stage::seeded(settings, servers, 7)
+impl Harness {
+    pub fn new(settings: Settings, servers: Vec<Listing>) -> Harness {
+        Harness::with_seed(settings, servers, 7)
     }
 
-    pub fn seeded(settings: Settings, servers: Vec<Listing>, seed: u64) -> Stage {
+    pub fn with_seed(settings: Settings, servers: Vec<Listing>, seed: u64) -> Harness {
         let mut stage =
-            Stage { balancer: Balancer::new(settings, seed), now: 1_000.0, next: 0, reports: 0.0 };
-        stage.event(Event::Listed(ListNews::Restored(servers)));
+            Harness { balancer: Balancer::new(settings, seed), now: 1_000.0, next: 0, reports: 0.0 };
+        stage.handle(Event::Listed(ListNews::Restored(servers)));
         stage
     }
 
     /// Reports the same from all these servers for long enough to be believed.
-    pub fn settle(&mut self, ids: &[u64], in_flight: f64, utilisation: f64) {
+    pub fn report_steady_load(&mut self, ids: &[u64], in_flight: f64, utilisation: f64) {
         for _ in 0..40 {
             self.now += 50.0;
-            ids.iter().for_each(|id| self.report(*id, in_flight, utilisation));
+            ids.iter().for_each(|id| self.report_load(*id, in_flight, utilisation));
         }
     }
 
-    pub fn event(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.balancer.handle(self.now, event, &mut out);
         out
@@ -97,19 +97,19 @@
 
     /// A request comes in; its id and what was done.
     pub fn arrive(&mut self, class: ClassId) -> (RequestId, Vec<Action>) {
-        self.arrive_again(class, false)
+        self.arrive_with_repeat_flag(class, false)
     }
 
     /// The same, and whether its client says that it tries again.
-    pub fn arrive_again(&mut self, class: ClassId, repeat: bool) -> (RequestId, Vec<Action>) {
+    pub fn arrive_with_repeat_flag(&mut self, class: ClassId, repeat: bool) -> (RequestId, Vec<Action>) {
         self.next += 1;
         let request = RequestId(self.next);
         let event = Event::Arrived { request, class, tenant: TenantId(0), time_left: 500.0, repeat };
-        let actions = self.event(event);
+        let actions = self.handle(event);
         (request, actions)
     }
 
-    pub fn finish(
+    pub fn finish_attempt(
         &mut self,
         request: RequestId,
         attempt: u32,
@@ -117,7 +117,7 @@
         outcome: Outcome,
         latency: Millis,
     ) -> Vec<Action> {
-        self.event(Event::Finished(Finished {
+        self.handle(Event::Finished(Finished {
             request,
             attempt: AttemptNo(attempt),
             upstream,
@@ -128,7 +128,7 @@
         }))
     }
 
-    pub fn report(&mut self, id: u64, in_flight: f64, utilisation: f64) {
+    pub fn report_load(&mut self, id: u64, in_flight: f64, utilisation: f64) {
         // Every report is a new one: the last figure is different each time.
         self.reports += 1.0;
         let report = Report {
@@ -137,7 +137,7 @@
             served_per_s: Some(self.reports),
             ..Report::default()
         };
-        self.event(Event::Probed { upstream: UpstreamId(id), answered: true, report: Some(report) });
+        self.handle(Event::Probed { upstream: UpstreamId(id), answered: true, report: Some(report) });
     }
 }
 
--- a/crates/sagemast/tests/deployments.rs
+++ b/crates/sagemast/tests/deployments.rs
@@ -9,15 +9,15 @@
 
 /// Serves 300 requests, answering each send after `took`; how many were served.
 fn serve(settings: Settings, servers: Vec<Listing>, piggyback: bool) -> (usize, usize) {
-    let mut stage = Stage::new(settings, servers);
+    let mut stage = Harness::new(settings, servers);
     let (mut served, mut probes) = (0, 0);
     for _ in 0..300 {
         stage.now += 30.0;
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         probes += actions.iter().filter(|action| matches!(action, Action::Probe(_))).count();
         let Some(upstream) = sent_to(&actions) else { continue };
         let report = Report { in_flight: Some(2.0), utilisation: Some(0.5), ..Report::default() };
-        stage.event(Event::Finished(Finished {
+        stage.handle(Event::Finished(Finished {
             request,
             attempt: AttemptNo(0),
             upstream,
@@ -58,8 +58,8 @@
     let mut settings = settings();
     settings.classes.clear();
     settings.sidecars = 0;
-    let mut stage = Stage::new(settings, vec![listing(1)]);
-    assert!(refused(&stage.arrive(REPEATABLE).1), "answered, whatever it is");
+    let mut stage = Harness::new(settings, vec![listing(1)]);
+    assert!(refused(&stage.arrive(IDEMPOTENT).1), "answered, whatever it is");
 }
 
 #[test]
@@ -77,14 +77,14 @@
 }
 
 /// Whom a sidecar sends a thousand requests to.
-fn sends(stage: &mut Stage) -> BTreeSet<u64> {
+fn sends(stage: &mut Harness) -> BTreeSet<u64> {
     let mut met = BTreeSet::new();
     for _ in 0..1_000 {
         stage.now += 30.0;
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         let Some(to) = sent_to(&actions) else { continue };
         met.insert(to.0);
-        stage.finish(request, 0, to, Outcome::Ok, 25.0);
+        stage.finish_attempt(request, 0, to, Outcome::Ok, 25.0);
     }
     met
 }
@@ -93,7 +93,7 @@
 fn met(sidecars: u32, servers: u64) -> Vec<BTreeSet<u64>> {
     let stage = |sidecar: u32| {
         let settings = Settings { sidecars, ..settings() };
-        Stage::seeded(settings, (1..=servers).map(listing).collect(), u64::from(sidecar))
+        Harness::with_seed(settings, (1..=servers).map(listing).collect(), u64::from(sidecar))
     };
     (0..sidecars).map(|sidecar| sends(&mut stage(sidecar))).collect()
 }
@@ -125,13 +125,13 @@
 #[test]
 fn a_subset_is_filled_up_when_servers_leave() {
     let settings = Settings { sidecars: 1_000, ..settings() };
-    let mut stage = Stage::new(settings, (1..=200).map(listing).collect());
-    stage.event(Event::Listed(ListNews::Complete((1..=5).map(listing).collect())));
+    let mut stage = Harness::new(settings, (1..=200).map(listing).collect());
+    stage.handle(Event::Listed(ListNews::Complete((1..=5).map(listing).collect())));
     assert_eq!(sends(&mut stage).len(), 5);
     // And when others come it is a part again, while those that stay are the same for the same list.
-    stage.event(Event::Listed(ListNews::Changed((6..=400).map(listing).collect())));
+    stage.handle(Event::Listed(ListNews::Changed((6..=400).map(listing).collect())));
     let first = sends(&mut stage);
     assert_eq!(first.len(), 16);
-    stage.event(Event::Listed(ListNews::Complete((1..=400).map(listing).collect())));
+    stage.handle(Event::Listed(ListNews::Complete((1..=400).map(listing).collect())));
     assert_eq!(sends(&mut stage), first);
 }
--- a/crates/sagemast/tests/guided.rs
+++ b/crates/sagemast/tests/guided.rs
@@ -7,8 +7,8 @@
 use common::*;
 use sagemast::api::*;
 
-fn guided(stage: &mut Stage, guidance: Guidance) {
-    stage.event(Event::Guided(Box::new(guidance)));
+fn guided(stage: &mut Harness, guidance: Guidance) {
+    stage.handle(Event::Guided(Box::new(guidance)));
 }
 
 fn ids(of: &[u64]) -> Option<BTreeSet<UpstreamId>> {
@@ -47,13 +47,13 @@
 
 #[test]
 fn what_the_fleet_sheds_is_refused_before_any_send_and_asked_back_within_its_slice() {
-    let mut stage = Stage::new(settings(), zones());
+    let mut stage = Harness::new(settings(), zones());
     let admit = vec![0.25, 1.0, 1.0, 1.0, 1.0];
     guided(&mut stage, Guidance { admit, come_back: Some([0.5, 0.75]), ..Guidance::default() });
     let mut shed = 0;
     for _ in 0..2_000 {
         stage.now += 1.0;
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         if let [(reason, after)] = refusals(&actions)[..] {
             assert_eq!((reason, sent_to(&actions)), (Reason::Shed, None));
             // Three tenths of an aim of 200 ms, and of that the slice.
@@ -61,27 +61,27 @@
             shed += 1;
         } else {
             let upstream = sent_to(&actions).expect("there is room");
-            stage.finish(request, 0, upstream, Outcome::Ok, 0.5);
+            stage.finish_attempt(request, 0, upstream, Outcome::Ok, 0.5);
         }
-        let (request, actions) = stage.arrive(ONCE);
+        let (request, actions) = stage.arrive(NON_IDEMPOTENT);
         let upstream = sent_to(&actions).expect("another class is let in");
-        stage.finish(request, 0, upstream, Outcome::Ok, 0.5);
+        stage.finish_attempt(request, 0, upstream, Outcome::Ok, 0.5);
     }
     assert!((1_400..1_600).contains(&shed), "{shed} of 2000, where three quarters should be");
     guided(&mut stage, Guidance::default());
-    assert!(sent_to(&stage.arrive(REPEATABLE).1).is_some());
+    assert!(sent_to(&stage.arrive(IDEMPOTENT).1).is_some());
 }
 
 #[test]
 fn only_duties_are_asked_for_their_load_and_all_of_them_in_time() {
-    let mut stage = Stage::new(settings(), zones());
+    let mut stage = Harness::new(settings(), zones());
     guided(&mut stage, Guidance { probes: ids(&[2, 5, 11]), ..Guidance::default() });
     let mut asked = Vec::new();
     for _ in 0..100 {
         stage.now += 10.0;
-        for id in probes(&stage.arrive(REPEATABLE).1) {
+        for id in probes(&stage.arrive(IDEMPOTENT).1) {
             asked.push(id);
-            stage.report(id, 1.0, 0.3);
+            stage.report_load(id, 1.0, 0.3);
         }
     }
     let each: Vec<usize> = [2, 5, 11].map(|id| asked.iter().filter(|a| **a == id).count()).to_vec();
@@ -91,11 +91,11 @@
 
 #[test]
 fn further_sends_go_by_the_fleets_budget() {
-    let mut stage = Stage::new(settings(), zones());
-    let retried = |stage: &mut Stage| {
-        let (request, actions) = stage.arrive(REPEATABLE);
+    let mut stage = Harness::new(settings(), zones());
+    let retried = |stage: &mut Harness| {
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         let upstream = sent_to(&actions).expect("there is room");
-        sent_to(&stage.finish(request, 0, upstream, Outcome::Full, 0.5)).is_some()
+        sent_to(&stage.finish_attempt(request, 0, upstream, Outcome::Full, 0.5)).is_some()
     };
     assert!(retried(&mut stage));
     guided(&mut stage, Guidance { retries: Some(Allowance { share: 0.5, burst: 1 }), ..Guidance::default() });
@@ -110,14 +110,14 @@
 
 #[test]
 fn an_ejected_server_is_tried_by_whom_the_fleet_chose_and_back_for_all() {
-    let mut stage = Stage::new(settings(), (0..4).map(listing).collect());
-    let eject = |stage: &mut Stage| {
+    let mut stage = Harness::new(settings(), (0..4).map(listing).collect());
+    let eject = |stage: &mut Harness| {
         for _ in 0..200 {
             stage.now += 5.0;
-            let (request, actions) = stage.arrive(ONCE);
+            let (request, actions) = stage.arrive(NON_IDEMPOTENT);
             let Some(upstream) = sent_to(&actions) else { continue };
             let outcome = if upstream.0 == 3 { Outcome::Reset } else { Outcome::Ok };
-            let log = stage.finish(request, 0, upstream, outcome, 1.0);
+            let log = stage.finish_attempt(request, 0, upstream, outcome, 1.0);
             if log.iter().any(|action| matches!(action, Action::Log { text, .. } if text.contains("ejected")))
             {
                 return;
@@ -125,12 +125,12 @@
         }
         panic!("it is ejected");
     };
-    let meets = |stage: &mut Stage| {
+    let meets = |stage: &mut Harness| {
         (0..60).any(|_| {
             stage.now += 5.0;
-            let (request, actions) = stage.arrive(ONCE);
+            let (request, actions) = stage.arrive(NON_IDEMPOTENT);
             let upstream = sent_to(&actions).expect("there is room");
-            stage.finish(request, 0, upstream, Outcome::Ok, 1.0);
+            stage.finish_attempt(request, 0, upstream, Outcome::Ok, 1.0);
             upstream.0 == 3
         })
     };
@@ -138,25 +138,25 @@
     stage.now += 5_000.0;
     guided(&mut stage, Guidance { trials: ids(&[]), ..Guidance::default() });
     assert!(!meets(&mut stage), "its trial is another's");
-    stage.event(Event::Tried { upstream: UpstreamId(3), well: false });
+    stage.handle(Event::Tried { upstream: UpstreamId(3), well: false });
     guided(&mut stage, Guidance { trials: ids(&[3]), ..Guidance::default() });
     assert!(!meets(&mut stage), "left alone after another's trial failed");
     guided(&mut stage, Guidance { trials: ids(&[]), ..Guidance::default() });
-    stage.event(Event::Tried { upstream: UpstreamId(3), well: true });
+    stage.handle(Event::Tried { upstream: UpstreamId(3), well: true });
     assert!(meets(&mut stage), "back after another's trial");
 }
 
 #[test]
 fn a_cold_server_gets_what_was_leased_and_no_more() {
     let cold = |id| Listing { started: Some(1_000.0), ..listing(id) };
-    let mut stage = Stage::new(settings(), vec![listing(1), cold(2), cold(3)]);
-    let sent = |stage: &mut Stage| {
+    let mut stage = Harness::new(settings(), vec![listing(1), cold(2), cold(3)]);
+    let sent = |stage: &mut Harness| {
         let mut sent = [0; 4];
         for _ in 0..400 {
-            let (request, actions) = stage.arrive(REPEATABLE);
+            let (request, actions) = stage.arrive(IDEMPOTENT);
             let Some(upstream) = sent_to(&actions) else { continue };
             sent[upstream.0 as usize] += 1;
-            stage.finish(request, 0, upstream, Outcome::Ok, 1.0);
+            stage.finish_attempt(request, 0, upstream, Outcome::Ok, 1.0);
         }
         sent
     };
@@ -181,26 +181,26 @@
 
 #[test]
 fn a_peers_report_counts_by_its_age_and_never_against_a_newer_one() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
-    stage.settle(&[1, 2], 1.0, 0.5);
+    let mut stage = Harness::new(settings(), vec![listing(1), listing(2)]);
+    stage.report_steady_load(&[1, 2], 1.0, 0.5);
     for _ in 0..40 {
         stage.now += 50.0;
-        stage.report(1, 60.0, 0.5);
-        stage.report(2, 1.0, 0.5);
+        stage.report_load(1, 60.0, 0.5);
+        stage.report_load(2, 1.0, 0.5);
     }
-    let told = |stage: &mut Stage, age, number| {
+    let told = |stage: &mut Harness, age, number| {
         let report = Report {
             in_flight: Some(0.0),
             utilisation: Some(0.1),
             served_per_s: Some(f64::from(number)),
             ..Report::default()
         };
-        stage.event(Event::Reported { upstream: UpstreamId(1), report, age });
+        stage.handle(Event::Reported { upstream: UpstreamId(1), report, age });
     };
-    let sent = |stage: &mut Stage| {
-        let (request, actions) = stage.arrive(REPEATABLE);
+    let sent = |stage: &mut Harness| {
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         let upstream = sent_to(&actions).expect("one has room");
-        stage.finish(request, 0, upstream, Outcome::Ok, 1.0);
+        stage.finish_attempt(request, 0, upstream, Outcome::Ok, 1.0);
         upstream.0
     };
     assert!((0..20).all(|_| sent(&mut stage) == 2), "the first is full");
@@ -208,7 +208,7 @@
     assert!((0..20).all(|_| sent(&mut stage) == 2), "what was told is older than what is known");
     (0..90).for_each(|number| {
         stage.now += 100.0;
-        stage.report(2, 10.0, 0.5);
+        stage.report_load(2, 10.0, 0.5);
         told(&mut stage, 20.0, number);
     });
     assert!((0..20).all(|_| sent(&mut stage) == 1), "it has become idle by peers' reports alone");
@@ -216,26 +216,29 @@
 
 #[test]
 fn nobody_in_its_ring_is_a_refusal_of_its_own_kind_and_what_may_have_run_fails() {
-    let mut stage = Stage::new(settings(), zones());
-    let (request, actions) = stage.arrive(ONCE);
+    let mut stage = Harness::new(settings(), zones());
+    let (request, actions) = stage.arrive(NON_IDEMPOTENT);
     let first = sent_to(&actions).expect("there is room");
-    let (keyed, actions) = stage.arrive(BY_ZONE);
+    let (keyed, actions) = stage.arrive(ZONE_KEYED);
     let second = sent_to(&actions).expect("there is room");
-    stage.event(within(&[&[], &[2]], &[Some(0), Some(1), Some(0), Some(0), None]));
+    stage.handle(within(&[&[], &[2]], &[Some(0), Some(1), Some(0), Some(0), None]));
     for _ in 0..50 {
-        assert_eq!(refusals(&stage.arrive(REPEATABLE).1)[0].0, Reason::Residency);
-        for (class, zones) in [(BY_CELL, 2..3), (BY_ALL, 0..4)] {
+        assert_eq!(refusals(&stage.arrive(IDEMPOTENT).1)[0].0, Reason::Residency);
+        for (class, zones) in [(CELL_KEYED, 2..3), (GLOBALLY_KEYED, 0..4)] {
             let (request, actions) = stage.arrive(class);
             let upstream = sent_to(&actions).expect("there is room");
             assert!(zones.contains(&(upstream.0 / 3)));
-            stage.finish(request, 0, upstream, Outcome::Ok, 0.5);
+            stage.finish_attempt(request, 0, upstream, Outcome::Ok, 0.5);
         }
         stage.now += 40.0;
     }
     // The rule tightened while these were out.
-    assert!(failed(&stage.finish(request, 0, first, Outcome::Reset, 1.0)));
+    assert!(failed(&stage.finish_attempt(request, 0, first, Outcome::Reset, 1.0)));
     stage.now += 1.0;
-    assert!(failed(&stage.finish(keyed, 0, second, Outcome::Error, 1.0)), "its zone is out of bounds now");
+    assert!(
+        failed(&stage.finish_attempt(keyed, 0, second, Outcome::Error, 1.0)),
+        "its zone is out of bounds now"
+    );
     let (class, tenant) = (ClassId(4), TenantId(0));
     let new = Residency { rings: Vec::new(), classes: vec![None; 4], tenants: Vec::new() };
     assert!(!new.allows(class, tenant, ZoneId(2)), "a class that its rules were not told of yet");
@@ -243,19 +246,19 @@
 
 #[test]
 fn a_server_that_moves_to_another_zone_leaves_the_rings_of_the_old_one() {
-    let mut stage = Stage::new(settings(), zones());
-    stage.event(within(&[&[1]], &[Some(0); 5]));
-    let meets = |stage: &mut Stage, id| {
+    let mut stage = Harness::new(settings(), zones());
+    stage.handle(within(&[&[1]], &[Some(0); 5]));
+    let meets = |stage: &mut Harness, id| {
         (0..100).any(|_| {
-            let (request, actions) = stage.arrive(REPEATABLE);
+            let (request, actions) = stage.arrive(IDEMPOTENT);
             let upstream = sent_to(&actions).expect("there is room");
-            stage.finish(request, 0, upstream, Outcome::Ok, 1.0);
+            stage.finish_attempt(request, 0, upstream, Outcome::Ok, 1.0);
             upstream.0 == id
         })
     };
     assert!(meets(&mut stage, 4));
     let to = |zone, id| Listing { zone: ZoneId(zone), ..listing(id) };
-    stage.event(Event::Listed(ListNews::Changed(vec![to(2, 4), to(1, 9)])));
+    stage.handle(Event::Listed(ListNews::Changed(vec![to(2, 4), to(1, 9)])));
     assert!(!meets(&mut stage, 4));
     assert!(meets(&mut stage, 9));
 }
@@ -264,19 +267,19 @@
 #[test]
 fn a_ring_has_a_subset_of_its_own() {
     let servers = (0..400).map(|id| Listing { zone: ZoneId(id / 40), ..listing(id) }).collect();
-    let mut stage = Stage::new(Settings { sidecars: 1_000, ..settings() }, servers);
-    stage.event(within(&[&[3]], &[Some(0), None, None, None, None]));
+    let mut stage = Harness::new(Settings { sidecars: 1_000, ..settings() }, servers);
+    stage.handle(within(&[&[3]], &[Some(0), None, None, None, None]));
     let mut met = |class| {
         let mut met = BTreeSet::new();
         for _ in 0..400 {
             let (request, actions) = stage.arrive(class);
             let upstream = sent_to(&actions).expect("there is room");
-            stage.finish(request, 0, upstream, Outcome::Ok, 1.0);
+            stage.finish_attempt(request, 0, upstream, Outcome::Ok, 1.0);
             met.insert(upstream.0);
         }
         met
     };
-    let (ruled, free) = (met(REPEATABLE), met(ONCE));
+    let (ruled, free) = (met(IDEMPOTENT), met(NON_IDEMPOTENT));
     assert!(ruled.iter().all(|id| id / 40 == 3));
     assert_eq!((ruled.len(), free.len()), (16, 16));
 }
--- a/crates/sagemast/tests/health.rs
+++ b/crates/sagemast/tests/health.rs
@@ -6,17 +6,17 @@
 use sagemast::api::*;
 
 /// Answers every send at once: server 1 fails as `bad` says, the others serve in 30 ms.
-fn play(stage: &mut Stage, rounds: usize, bad: Outcome, all_bad: bool) -> usize {
+fn play(stage: &mut Harness, rounds: usize, bad: Outcome, all_bad: bool) -> usize {
     let mut to_bad = 0;
     for _ in 0..rounds {
         stage.now += 10.0;
-        let (request, mut actions) = stage.arrive(REPEATABLE);
+        let (request, mut actions) = stage.arrive(IDEMPOTENT);
         let mut attempt = 0;
         while let Some(to) = sent_to(&actions) {
             let is_bad = all_bad || to.0 == 1;
             to_bad += usize::from(to.0 == 1);
             let (outcome, took) = if is_bad { (bad, 2.0) } else { (Outcome::Ok, 30.0) };
-            actions = stage.finish(request, attempt, to, outcome, took);
+            actions = stage.finish_attempt(request, attempt, to, outcome, took);
             attempt += 1;
         }
     }
@@ -27,7 +27,7 @@
 #[test]
 fn a_fast_failer_is_ejected() {
     for bad in [Outcome::Error, Outcome::Unreachable, Outcome::Reset] {
-        let mut stage = Stage::new(settings(), (1..=5).map(listing).collect());
+        let mut stage = Harness::new(settings(), (1..=5).map(listing).collect());
         play(&mut stage, 50, bad, false);
         let later = play(&mut stage, 500, bad, false);
         assert!(later < 10, "{bad:?}: {later} of 500 still went to the failing server");
@@ -36,7 +36,7 @@
 
 #[test]
 fn an_ejected_server_comes_back_by_trials() {
-    let mut stage = Stage::new(settings(), (1..=5).map(listing).collect());
+    let mut stage = Harness::new(settings(), (1..=5).map(listing).collect());
     play(&mut stage, 100, Outcome::Error, false);
     let back = play(&mut stage, 2_000, Outcome::Ok, false);
     assert!(back > 100, "{back} of 2,000 after it had recovered");
@@ -45,11 +45,11 @@
 /// Guards against flapping: the answer to a send from before the ejection once ended it in the same millisecond.
 #[test]
 fn answers_to_earlier_sends_do_not_end_an_ejection() {
-    let mut stage = Stage::new(settings(), (1..=5).map(listing).collect());
-    stage.settle(&[1, 2, 3, 4, 5], 1.0, 0.1);
+    let mut stage = Harness::new(settings(), (1..=5).map(listing).collect());
+    stage.report_steady_load(&[1, 2, 3, 4, 5], 1.0, 0.1);
     let mut out = Vec::new();
     for _ in 0..60 {
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         out.extend(sent_to(&actions).filter(|to| to.0 == 1).map(|_| request));
     }
     assert!(out.len() >= 8, "{} sends to the first", out.len());
@@ -57,7 +57,7 @@
     for (number, request) in out.into_iter().enumerate() {
         stage.now += 1.0;
         let outcome = if number < 5 { Outcome::Reset } else { Outcome::Ok };
-        logs.extend(stage.finish(request, 0, UpstreamId(1), outcome, 20.0));
+        logs.extend(stage.finish_attempt(request, 0, UpstreamId(1), outcome, 20.0));
     }
     let told =
         |text: &str| logs.iter().any(|a| matches!(a, Action::Log { text: line, .. } if line.contains(text)));
@@ -68,14 +68,14 @@
 /// Guards against ejecting everyone when the network or we ourselves are at fault.
 #[test]
 fn not_all_are_ejected() {
-    let mut stage = Stage::new(settings(), (1..=5).map(listing).collect());
+    let mut stage = Harness::new(settings(), (1..=5).map(listing).collect());
     play(&mut stage, 200, Outcome::Error, true);
     let mut used = std::collections::BTreeSet::new();
     for _ in 0..40 {
-        let (request, actions) = stage.arrive(ONCE);
+        let (request, actions) = stage.arrive(NON_IDEMPOTENT);
         let to = sent_to(&actions).expect("someone is asked");
         used.insert(to);
-        stage.finish(request, 0, to, Outcome::Ok, 30.0);
+        stage.finish_attempt(request, 0, to, Outcome::Ok, 30.0);
     }
     assert!(used.len() >= 3, "{used:?}");
 }
@@ -83,22 +83,22 @@
 /// Guards against hung servers: nothing comes back from them, not even a failure, until the time-outs.
 #[test]
 fn unanswered_sends_count_before_they_time_out() {
-    let mut stage = Stage::new(settings(), (1..=4).map(listing).collect());
+    let mut stage = Harness::new(settings(), (1..=4).map(listing).collect());
     let mut hung = 0;
     for round in 0..200 {
         stage.now += 5.0;
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         for action in &actions {
             // It answers probes, and always looks as if it had just finished everything.
             if let Action::Probe(upstream) = action {
-                stage.report(upstream.0, 0.0, 0.0);
+                stage.report_load(upstream.0, 0.0, 0.0);
             }
         }
         let Some(to) = sent_to(&actions) else { continue };
         if to.0 == 1 {
             hung += usize::from(round >= 40);
         } else {
-            stage.finish(request, 0, to, Outcome::Ok, 20.0);
+            stage.finish_attempt(request, 0, to, Outcome::Ok, 20.0);
         }
     }
     assert!(hung <= 5, "{hung} of 160 went to a server that answers nothing");
@@ -107,51 +107,51 @@
 /// "Full" tells of load, which the counts show already; ejecting for it would take capacity away under overload.
 #[test]
 fn full_is_not_a_failure() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
+    let mut stage = Harness::new(settings(), vec![listing(1), listing(2)]);
     for _ in 0..60 {
         stage.now += 50.0;
-        stage.report(2, 3.0, 0.5);
-        let (request, mut actions) = stage.arrive(ONCE);
+        stage.report_load(2, 3.0, 0.5);
+        let (request, mut actions) = stage.arrive(NON_IDEMPOTENT);
         for attempt in 0.. {
             let ejected = |a: &Action| matches!(a, Action::Log { text, .. } if text.contains("ejected for"));
             assert!(!actions.iter().any(ejected), "ejected for being full");
             let Some(to) = sent_to(&actions) else { break };
             let outcome = if to.0 == 1 { Outcome::Full } else { Outcome::Ok };
-            actions = stage.finish(request, attempt, to, outcome, 1.0);
+            actions = stage.finish_attempt(request, attempt, to, outcome, 1.0);
         }
     }
-    stage.report(1, 0.0, 0.0);
-    stage.report(2, 5.0, 0.9);
-    assert_eq!(sent_to(&stage.arrive(ONCE).1), Some(UpstreamId(1)));
+    stage.report_load(1, 0.0, 0.0);
+    stage.report_load(2, 5.0, 0.9);
+    assert_eq!(sent_to(&stage.arrive(NON_IDEMPOTENT).1), Some(UpstreamId(1)));
 }
 
 #[test]
 fn work_is_refused_when_no_server_can_answer_in_time() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
-    stage.settle(&[1, 2], 1.0, 0.5);
-    stage.settle(&[1, 2], 60.0, 1.0);
-    let (_, actions) = stage.arrive(REPEATABLE);
+    let mut stage = Harness::new(settings(), vec![listing(1), listing(2)]);
+    stage.report_steady_load(&[1, 2], 1.0, 0.5);
+    stage.report_steady_load(&[1, 2], 60.0, 1.0);
+    let (_, actions) = stage.arrive(IDEMPOTENT);
     assert!(refused(&actions));
 }
 
 /// Guards against a lock-out: a service time learnt in a jam must not refuse everything on idle servers for good.
 #[test]
 fn an_idle_server_has_room_whatever_was_learnt() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
+    let mut stage = Harness::new(settings(), vec![listing(1), listing(2)]);
     for _ in 0..300 {
         stage.now += 400.0;
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         for id in [1, 2] {
-            stage.report(id, 1.0, 0.25);
+            stage.report_load(id, 1.0, 0.25);
         }
         if let Some(to) = sent_to(&actions) {
-            stage.finish(request, 0, to, Outcome::Ok, 190.0);
+            stage.finish_attempt(request, 0, to, Outcome::Ok, 190.0);
         }
     }
     for id in [1, 2] {
-        stage.report(id, 0.0, 0.0);
+        stage.report_load(id, 0.0, 0.0);
     }
-    assert!(sent_to(&stage.arrive(REPEATABLE).1).is_some());
+    assert!(sent_to(&stage.arrive(IDEMPOTENT).1).is_some());
 }
 
 /// Guards against shedding at random: under overload what earns least for its work goes first, and then what
@@ -159,54 +159,56 @@
 #[test]
 fn the_least_worth_is_refused_first() {
     let mut settings = settings();
-    settings.classes[REPEATABLE.0].worth = 0.2;
-    settings.classes[BY_ALL.0].worth = 4.0;
+    settings.classes[IDEMPOTENT.0].worth = 0.2;
+    settings.classes[GLOBALLY_KEYED.0].worth = 4.0;
     settings.tenants = vec![Tenant { quota_per_s: 50.0 }, Tenant { quota_per_s: 50.0 }];
     settings.over_quota_worth = 0.05;
     let mut refusals = std::collections::BTreeMap::new();
     let ids: Vec<u64> = (0..40).collect();
-    let mut stage = Stage::new(settings, ids.iter().copied().map(listing).collect());
-    stage.settle(&ids, 2.0, 0.5);
+    let mut stage = Harness::new(settings, ids.iter().copied().map(listing).collect());
+    stage.report_steady_load(&ids, 2.0, 0.5);
     for number in 0..4_000_u64 {
         stage.now += 5.0;
         // Of servers that work on 4 at once one in eight has room for a few more.
-        ids.iter().for_each(|id| stage.report(*id, if id % 8 == 0 { 5.0 } else { 12.0 }, 1.0));
-        let (class, tenant) = ([REPEATABLE, BY_ALL][(number / 16 % 2) as usize], u64::from(number % 5 == 0));
+        ids.iter().for_each(|id| stage.report_load(*id, if id % 8 == 0 { 5.0 } else { 12.0 }, 1.0));
+        let (class, tenant) =
+            ([IDEMPOTENT, GLOBALLY_KEYED][(number / 16 % 2) as usize], u64::from(number % 5 == 0));
         let request = RequestId(number);
         let tenant = TenantId(tenant as usize);
-        let actions = stage.event(Event::Arrived { request, class, tenant, time_left: 500.0, repeat: false });
+        let actions =
+            stage.handle(Event::Arrived { request, class, tenant, time_left: 500.0, repeat: false });
         let count: &mut (u32, u32) = refusals.entry((class, tenant)).or_default();
         count.1 += 1;
         count.0 += u32::from(refused(&actions));
         if let Some(to) = sent_to(&actions) {
-            stage.event(Event::Abandoned(request));
-            stage.finish(request, 0, to, Outcome::Cancelled, 1.0);
+            stage.handle(Event::Abandoned(request));
+            stage.finish_attempt(request, 0, to, Outcome::Cancelled, 1.0);
         }
     }
     let rate = |class, tenant| {
         let (refused, all): (u32, u32) = refusals[&(class, TenantId(tenant))];
         f64::from(refused) / f64::from(all)
     };
-    assert!(rate(REPEATABLE, 0) > rate(BY_ALL, 0) + 0.1, "by worth: {refusals:?}");
-    assert!(rate(BY_ALL, 0) > rate(BY_ALL, 1) + 0.1, "by share: {refusals:?}");
+    assert!(rate(IDEMPOTENT, 0) > rate(GLOBALLY_KEYED, 0) + 0.1, "by worth: {refusals:?}");
+    assert!(rate(GLOBALLY_KEYED, 0) > rate(GLOBALLY_KEYED, 1) + 0.1, "by share: {refusals:?}");
 }
 
 /// Guards against feeding a jam: when all servers have become slow, one that a sidecar has not heard of for a
 /// while must be taken for slow, too, and not for quick.
 #[test]
 fn a_slowed_fleet_is_not_forgotten_server_by_server() {
-    let mut stage = Stage::new(settings(), (1..=20).map(listing).collect());
+    let mut stage = Harness::new(settings(), (1..=20).map(listing).collect());
     let ids: Vec<u64> = (1..=20).collect();
-    stage.settle(&ids, 3.0, 0.75);
-    let play = |stage: &mut Stage, rounds: usize, took: Millis| {
+    stage.report_steady_load(&ids, 3.0, 0.75);
+    let play = |stage: &mut Harness, rounds: usize, took: Millis| {
         let mut refusals = 0;
         for _ in 0..rounds {
             stage.now += 100.0;
-            ids.iter().for_each(|id| stage.report(*id, 7.0, 0.95));
-            let (request, actions) = stage.arrive(REPEATABLE);
+            ids.iter().for_each(|id| stage.report_load(*id, 7.0, 0.95));
+            let (request, actions) = stage.arrive(IDEMPOTENT);
             refusals += usize::from(refused(&actions));
             if let Some(to) = sent_to(&actions) {
-                stage.finish(request, 0, to, Outcome::Ok, took);
+                stage.finish_attempt(request, 0, to, Outcome::Ok, took);
             }
         }
         refusals
@@ -221,22 +223,22 @@
 #[test]
 fn room_shrinks_while_answers_are_late() {
     let mut settings = settings();
-    settings.classes[REPEATABLE.0].aim = 400.0;
+    settings.classes[IDEMPOTENT.0].aim = 400.0;
     let ids: Vec<u64> = (1..=6).collect();
     let accepted = |late: bool| {
-        let mut stage = Stage::new(settings.clone(), ids.iter().copied().map(listing).collect());
-        stage.settle(&ids, 3.0, 0.75);
+        let mut stage = Harness::new(settings.clone(), ids.iter().copied().map(listing).collect());
+        stage.report_steady_load(&ids, 3.0, 0.75);
         let mut accepted = 0;
         for round in 0..600_u64 {
             stage.now += 50.0;
-            ids.iter().for_each(|id| stage.report(*id, 3.0 + (round % 8) as f64, 0.95));
-            let (request, actions) = stage.arrive(REPEATABLE);
+            ids.iter().for_each(|id| stage.report_load(*id, 3.0 + (round % 8) as f64, 0.95));
+            let (request, actions) = stage.arrive(IDEMPOTENT);
             let Some(to) = sent_to(&actions) else { continue };
             accepted += u32::from(round >= 300);
             // Every second request is heavy: the usual service time does not change.
             let heavy = late && round % 2 == 0;
             stage.now += if heavy { 450.0 } else { 0.0 };
-            stage.finish(request, 0, to, Outcome::Ok, if heavy { 450.0 } else { 60.0 });
+            stage.finish_attempt(request, 0, to, Outcome::Ok, if heavy { 450.0 } else { 60.0 });
         }
         accepted
     };
@@ -247,9 +249,9 @@
 /// Guards against advice that is kept too well: a client that stays away for longer than its aim comes back for nothing.
 #[test]
 fn a_refused_client_is_asked_back_within_its_aim() {
-    let mut stage = Stage::new(settings(), vec![]);
+    let mut stage = Harness::new(settings(), vec![]);
     let waits: Vec<Millis> = (0..200)
-        .flat_map(|_| stage.arrive(REPEATABLE).1)
+        .flat_map(|_| stage.arrive(IDEMPOTENT).1)
         .filter_map(|action| match action {
             Action::Refuse { retry_after, .. } => Some(retry_after),
             _ => None,
@@ -267,51 +269,52 @@
 fn cold_servers_do_not_make_the_others_look_crowded() {
     let mut settings = settings();
     settings.safety.warm_up = 100_000.0;
-    let mut stage = Stage::new(settings, vec![listing(1), listing(2)]);
-    stage.settle(&[1, 2], 0.8, 0.1);
+    let mut stage = Harness::new(settings, vec![listing(1), listing(2)]);
+    stage.report_steady_load(&[1, 2], 0.8, 0.1);
     let (mut cold, mut started) = (0, f64::INFINITY);
     for round in 0..120 {
         if round == 40 {
             started = stage.now;
             let entry = Listing { started: Some(stage.now), ..listing(2) };
-            stage.event(Event::Listed(ListNews::Changed(vec![entry])));
+            stage.handle(Event::Listed(ListNews::Changed(vec![entry])));
         }
         stage.now += 100.0;
-        stage.report(1, if round < 40 { 0.8 } else { 7.5 }, 0.05);
-        stage.report(2, 0.5, 0.05);
-        let (request, actions) = stage.arrive(REPEATABLE);
+        stage.report_load(1, if round < 40 { 0.8 } else { 7.5 }, 0.05);
+        stage.report_load(2, 0.5, 0.05);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         let to = sent_to(&actions).expect("there is room");
         let slow = to == UpstreamId(2) && round >= 40;
         cold += usize::from(slow);
         let latency = if slow { 20.0 / (0.2 + 0.8 * (stage.now - started) / 100_000.0) } else { 20.0 };
         stage.now += latency;
-        stage.finish(request, 0, to, Outcome::Ok, latency);
+        stage.finish_attempt(request, 0, to, Outcome::Ok, latency);
     }
     assert!(cold > 3, "only {cold} went to the cold server");
-    stage.report(1, 6.0, 0.05);
-    stage.report(2, 20.0, 0.05);
-    assert_eq!(sent_to(&stage.arrive(REPEATABLE).1), Some(UpstreamId(1)));
+    stage.report_load(1, 6.0, 0.05);
+    stage.report_load(2, 20.0, 0.05);
+    assert_eq!(sent_to(&stage.arrive(IDEMPOTENT).1), Some(UpstreamId(1)));
 }
 
 /// Guards against starving a class: with room by worth for service time alone, the class whose requests take longer
 /// would bear all refusals for as long as servers are busy.
 #[test]
 fn refusals_are_spread_over_the_classes() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
-    stage.settle(&[1, 2], 0.8, 0.1);
+    let mut stage = Harness::new(settings(), vec![listing(1), listing(2)]);
+    stage.report_steady_load(&[1, 2], 0.8, 0.1);
     let mut served = [0, 0];
     for round in 0..600 {
         let busy = round >= 200;
-        let (number, class, service) = if round % 2 == 0 { (0, REPEATABLE, 40.0) } else { (1, BY_ALL, 64.0) };
+        let (number, class, service) =
+            if round % 2 == 0 { (0, IDEMPOTENT, 40.0) } else { (1, GLOBALLY_KEYED, 64.0) };
         stage.now += 50.0;
         // Their size stays known, from the first reports: the utilisation is too low to tell anything.
-        [1, 2].into_iter().for_each(|id| stage.report(id, if busy { 9.2 } else { 0.8 }, 0.05));
+        [1, 2].into_iter().for_each(|id| stage.report_load(id, if busy { 9.2 } else { 0.8 }, 0.05));
         let (request, actions) = stage.arrive(class);
         let Some(to) = sent_to(&actions) else { continue };
         served[number] += usize::from(busy);
         let latency = if busy { 2.0 * service } else { service };
         stage.now += latency;
-        stage.finish(request, 0, to, Outcome::Ok, latency);
+        stage.finish_attempt(request, 0, to, Outcome::Ok, latency);
     }
     assert!(served[1] > 5 && served[1] * 3 > served[0], "served by class: {served:?}");
 }
@@ -320,49 +323,49 @@
 /// request, so that nothing was sent, nothing was learnt, and everything was refused for good.
 #[test]
 fn an_empty_server_has_room_however_crowded_the_fleet_looks() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
-    stage.settle(&[1, 2], 1.0, 0.5);
+    let mut stage = Harness::new(settings(), vec![listing(1), listing(2)]);
+    stage.report_steady_load(&[1, 2], 1.0, 0.5);
     for round in 0..200 {
         let latency = if round < 60 { 30.0 } else { 190.0 };
         stage.now += 50.0;
-        [1, 2].into_iter().for_each(|id| stage.report(id, 0.0, 0.0));
-        let (request, actions) = stage.arrive(REPEATABLE);
+        [1, 2].into_iter().for_each(|id| stage.report_load(id, 0.0, 0.0));
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         let to = sent_to(&actions).expect("empty servers have room");
         stage.now += latency;
-        stage.finish(request, 0, to, Outcome::Ok, latency);
+        stage.finish_attempt(request, 0, to, Outcome::Ok, latency);
     }
 }
 
 /// Guards against a hung server that looks idle: an old unanswered send counts against it before any time-out.
 #[test]
 fn silence_counts_as_slowness() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
-    stage.settle(&[1, 2], 1.0, 0.25);
+    let mut stage = Harness::new(settings(), vec![listing(1), listing(2)]);
+    stage.report_steady_load(&[1, 2], 1.0, 0.25);
     for _ in 0..60 {
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         stage.now += 20.0;
-        stage.finish(request, 0, sent_to(&actions).expect("there is room"), Outcome::Ok, 20.0);
+        stage.finish_attempt(request, 0, sent_to(&actions).expect("there is room"), Outcome::Ok, 20.0);
     }
-    let hung = sent_to(&stage.arrive(REPEATABLE).1).expect("there is room");
+    let hung = sent_to(&stage.arrive(IDEMPOTENT).1).expect("there is room");
     let other = if hung.0 == 1 { 2 } else { 1 };
     stage.now += 120.0;
     for _ in 0..20 {
-        stage.report(hung.0, 0.0, 0.0);
-        stage.report(other, 3.0, 0.05);
-        let (request, actions) = stage.arrive(REPEATABLE);
+        stage.report_load(hung.0, 0.0, 0.0);
+        stage.report_load(other, 3.0, 0.05);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         assert_eq!(sent_to(&actions), Some(UpstreamId(other)));
-        stage.finish(request, 0, UpstreamId(other), Outcome::Ok, 20.0);
+        stage.finish_attempt(request, 0, UpstreamId(other), Outcome::Ok, 20.0);
     }
 }
 
 /// Guards against losing sight: servers that have no room are never drawn, and would stay full for us for good.
 #[test]
 fn servers_without_room_are_still_probed() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
-    stage.settle(&[1, 2], 1.0, 0.5);
-    stage.settle(&[1, 2], 60.0, 1.0);
+    let mut stage = Harness::new(settings(), vec![listing(1), listing(2)]);
+    stage.report_steady_load(&[1, 2], 1.0, 0.5);
+    stage.report_steady_load(&[1, 2], 60.0, 1.0);
     stage.now += 400.0;
-    let (_, actions) = stage.arrive(REPEATABLE);
+    let (_, actions) = stage.arrive(IDEMPOTENT);
     assert!(refused(&actions));
     assert!(actions.iter().any(|action| matches!(action, Action::Probe(_))));
 }
@@ -370,27 +373,27 @@
 /// Guards against branding: a server that was slow once is tried again after a while.
 #[test]
 fn slowness_is_forgotten() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
-    stage.settle(&[1, 2], 1.0, 0.25);
+    let mut stage = Harness::new(settings(), vec![listing(1), listing(2)]);
+    stage.report_steady_load(&[1, 2], 1.0, 0.25);
     for _ in 0..200 {
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         let to = sent_to(&actions).expect("there is room");
         let latency = if to.0 == 1 { 100.0 } else { 20.0 };
         stage.now += latency;
-        stage.finish(request, 0, to, Outcome::Ok, latency);
+        stage.finish_attempt(request, 0, to, Outcome::Ok, latency);
     }
     stage.now += 20_000.0;
-    stage.report(1, 1.0, 0.05);
-    stage.report(2, 1.5, 0.05);
-    assert_eq!(sent_to(&stage.arrive(REPEATABLE).1), Some(UpstreamId(1)));
+    stage.report_load(1, 1.0, 0.05);
+    stage.report_load(2, 1.5, 0.05);
+    assert_eq!(sent_to(&stage.arrive(IDEMPOTENT).1), Some(UpstreamId(1)));
 }
 
 /// How many requests each of two servers takes until both refuse, none of them answered. One may be refused by
 /// chance, ten in a row are not.
-fn held_by_each(stage: &mut Stage) -> [usize; 2] {
+fn held_by_each(stage: &mut Harness) -> [usize; 2] {
     let (mut sends, mut refusals) = (Vec::new(), 0);
     while refusals < 10 {
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         match sent_to(&actions) {
             Some(to) => sends.push((request, to)),
             None => refusals += 1,
@@ -398,8 +401,8 @@
     }
     let held = [1, 2].map(|id| sends.iter().filter(|(_, to)| to.0 == id).count());
     for (request, to) in sends {
-        stage.event(Event::Abandoned(request));
-        stage.finish(request, 0, to, Outcome::Cancelled, 1.0);
+        stage.handle(Event::Abandoned(request));
+        stage.finish_attempt(request, 0, to, Outcome::Cancelled, 1.0);
     }
     held
 }
@@ -408,24 +411,24 @@
 /// fewer, the others as many as before, and after a while it is tried in full again.
 #[test]
 fn a_server_that_turns_requests_away_is_sent_fewer_for_a_while() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
-    stage.settle(&[1, 2], 1.0, 0.25);
+    let mut stage = Harness::new(settings(), vec![listing(1), listing(2)]);
+    stage.report_steady_load(&[1, 2], 1.0, 0.25);
     let before = held_by_each(&mut stage);
     assert!(before[0] >= 3 && before[0] == before[1], "{before:?}");
     for _ in 0..6 {
-        let sends: Vec<_> = (0..6).map(|_| stage.arrive(ONCE)).collect();
+        let sends: Vec<_> = (0..6).map(|_| stage.arrive(NON_IDEMPOTENT)).collect();
         stage.now += 20.0;
         for (request, actions) in sends {
             let Some(to) = sent_to(&actions) else { continue };
-            stage.event(Event::Abandoned(request));
-            stage.finish(request, 0, to, if to.0 == 1 { Outcome::Full } else { Outcome::Ok }, 20.0);
+            stage.handle(Event::Abandoned(request));
+            stage.finish_attempt(request, 0, to, if to.0 == 1 { Outcome::Full } else { Outcome::Ok }, 20.0);
         }
     }
     let turned = held_by_each(&mut stage);
     assert!(turned[0] + 1 < before[0] && turned[1] + 1 >= before[1], "{turned:?} after {before:?}");
     for _ in 0..10 {
         stage.now += 1_000.0;
-        [1, 2].into_iter().for_each(|id| stage.report(id, 1.0, 0.25));
+        [1, 2].into_iter().for_each(|id| stage.report_load(id, 1.0, 0.25));
     }
     let later = held_by_each(&mut stage);
     assert!(later[0] >= before[0] - 1 && later[0] == later[1], "after ten seconds {later:?}");
--- a/crates/sagemast/tests/routes.rs
+++ b/crates/sagemast/tests/routes.rs
@@ -14,11 +14,11 @@
 }
 
 /// A stage whose sixth class has a policy.
-fn stage(effect: Effect, policy: Policy) -> Stage {
+fn stage(effect: Effect, policy: Policy) -> Harness {
     let mut settings = settings();
     settings.limits.duplicates = true;
     settings.classes.push(Class { policy, ..class(effect) });
-    Stage::new(settings, servers())
+    Harness::new(settings, servers())
 }
 
 /// The time-out of the first send among these actions.
@@ -38,13 +38,13 @@
 }
 
 /// Sends that a request has while each of them fails so, one millisecond after it went out.
-fn sends(stage: &mut Stage, failures: &[Outcome]) -> usize {
+fn sends(stage: &mut Harness, failures: &[Outcome]) -> usize {
     let (request, mut actions) = stage.arrive(ROUTED);
     let mut sends = 0;
     for failure in failures {
         let Some(to) = sent_to(&actions) else { break };
         stage.now += 1.0;
-        actions = stage.finish(request, sends, to, *failure, 1.0);
+        actions = stage.finish_attempt(request, sends, to, *failure, 1.0);
         sends += 1;
     }
     sends as usize + usize::from(sent_to(&actions).is_some())
@@ -87,8 +87,8 @@
     let to = sent_to(&actions).expect("it is sent");
     let (at, token) = wake(&actions).expect("it asks for a copy");
     stage.now = at;
-    assert_eq!(sent_to(&stage.event(Event::Woke(token))), None, "it might run twice");
-    assert_eq!(sent_to(&stage.finish(request, 0, to, Outcome::TimedOut, 10.0)), None);
+    assert_eq!(sent_to(&stage.handle(Event::Woke(token))), None, "it might run twice");
+    assert_eq!(sent_to(&stage.finish_attempt(request, 0, to, Outcome::TimedOut, 10.0)), None);
 }
 
 #[test]
@@ -100,11 +100,11 @@
     assert_eq!(timeout(&actions), Some(70.0));
     let to = sent_to(&actions).expect("it is sent");
     stage.now += 100.0;
-    let actions = stage.finish(request, 0, to, Outcome::Error, 100.0);
+    let actions = stage.finish_attempt(request, 0, to, Outcome::Error, 100.0);
     assert_eq!(timeout(&actions), Some(50.0), "what is left of the whole");
     let to = sent_to(&actions).expect("it is sent");
     stage.now += 50.0;
-    let actions = stage.finish(request, 1, to, Outcome::TimedOut, 50.0);
+    let actions = stage.finish_attempt(request, 1, to, Outcome::TimedOut, 50.0);
     assert!(refused(&actions), "its time is up: it is answered at once");
 }
 
@@ -115,17 +115,17 @@
     let (request, mut actions) = stage.arrive(ROUTED);
     for (attempt, pause) in [(0, 10.0), (1, 25.0)] {
         let to = sent_to(&actions).expect("it is sent");
-        let ended = stage.finish(request, attempt, to, Outcome::Error, 1.0);
+        let ended = stage.finish_attempt(request, attempt, to, Outcome::Error, 1.0);
         assert_eq!(sent_to(&ended), None, "not before the pause is over");
         let (at, token) = wake(&ended).expect("a pause");
         assert_eq!(at, stage.now + pause);
         stage.now = at;
-        actions = stage.event(Event::Woke(token));
+        actions = stage.handle(Event::Woke(token));
     }
     // A pause that outlasts what an answer is worth anything for is no pause but the end, and that at once.
     let to = sent_to(&actions).expect("it is sent");
     stage.now += 150.0;
-    let ended = stage.finish(request, 2, to, Outcome::Error, 1.0);
+    let ended = stage.finish_attempt(request, 2, to, Outcome::Error, 1.0);
     assert!(refused(&ended) && wake(&ended).is_none(), "{ended:?}");
 }
 
@@ -135,10 +135,10 @@
     let mut stage = stage(Effect::Repeatable, Policy { backoff: Some(backoff), ..Policy::default() });
     let (request, actions) = stage.arrive(ROUTED);
     let to = sent_to(&actions).expect("it is sent");
-    let (at, token) = wake(&stage.finish(request, 0, to, Outcome::Error, 1.0)).expect("a pause");
-    stage.event(Event::Abandoned(request));
+    let (at, token) = wake(&stage.finish_attempt(request, 0, to, Outcome::Error, 1.0)).expect("a pause");
+    stage.handle(Event::Abandoned(request));
     stage.now = at;
-    assert_eq!(stage.event(Event::Woke(token)), vec![]);
+    assert_eq!(stage.handle(Event::Woke(token)), vec![]);
 }
 
 #[test]
@@ -170,14 +170,14 @@
     let (at, token) = wake(&actions).expect("a copy is planned");
     assert_eq!(at, stage.now + 30.0);
     stage.now = at;
-    let second = sent_to(&stage.event(Event::Woke(token))).expect("the copy");
+    let second = sent_to(&stage.handle(Event::Woke(token))).expect("the copy");
     assert_ne!(first, second);
-    assert_eq!(sent_to(&stage.event(Event::Woke(token))), None, "there is one copy");
+    assert_eq!(sent_to(&stage.handle(Event::Woke(token))), None, "there is one copy");
     // The first fails: its copy is awaited.
     stage.now += 5.0;
-    let actions = stage.finish(request, 0, first, Outcome::Error, 35.0);
+    let actions = stage.finish_attempt(request, 0, first, Outcome::Error, 35.0);
     assert!(sent_to(&actions).is_none() && !refused(&actions) && !failed(&actions), "{actions:?}");
-    let actions = stage.finish(request, 1, second, Outcome::Ok, 10.0);
+    let actions = stage.finish_attempt(request, 1, second, Outcome::Ok, 10.0);
     assert!(!refused(&actions) && !failed(&actions));
 }
 
@@ -187,8 +187,8 @@
     let (request, actions) = stage.arrive(ROUTED);
     let (at, token) = wake(&actions).expect("a copy is planned");
     stage.now = at;
-    let second = sent_to(&stage.event(Event::Woke(token))).expect("the copy");
-    let actions = stage.finish(request, 1, second, Outcome::Ok, 10.0);
+    let second = sent_to(&stage.handle(Event::Woke(token))).expect("the copy");
+    let actions = stage.finish_attempt(request, 1, second, Outcome::Ok, 10.0);
     assert!(actions.contains(&Action::Cancel { request, attempt: AttemptNo(0) }), "{actions:?}");
 }
 
@@ -201,11 +201,11 @@
         let first = sent_to(&actions).expect("it is sent");
         let (at, token) = wake(&actions).expect("a copy is planned");
         stage.now = at;
-        if let Some(second) = sent_to(&stage.event(Event::Woke(token))) {
+        if let Some(second) = sent_to(&stage.handle(Event::Woke(token))) {
             copied += 1;
-            stage.finish(request, 1, second, Outcome::Ok, 10.0);
+            stage.finish_attempt(request, 1, second, Outcome::Ok, 10.0);
         }
-        stage.finish(request, 0, first, Outcome::Ok, 40.0);
+        stage.finish_attempt(request, 0, first, Outcome::Ok, 40.0);
         stage.now += 10.0;
     }
     assert_eq!(copied, 3, "two at once and one of ten");
@@ -222,7 +222,7 @@
         after = wake(&actions).expect("a copy is planned").0 - stage.now;
         let took = if n % 10 == 9 { 100.0 } else { 20.0 + f64::from(n * 7 % 10) };
         stage.now += took;
-        stage.finish(request, 0, to, Outcome::Ok, took);
+        stage.finish_attempt(request, 0, to, Outcome::Ok, took);
     }
     assert!((28.0..60.0).contains(&after), "the 90th percentile is at 29, and is taken for {after:.0}");
 }
@@ -233,13 +233,13 @@
     settings
         .classes
         .push(Class { policy: copies(CopyAfter::Fixed(Span(30.0)), 5), ..class(Effect::Repeatable) });
-    let mut stage = Stage::new(settings, servers());
+    let mut stage = Harness::new(settings, servers());
     let (_, actions) = stage.arrive(ROUTED);
     assert_eq!(wake(&actions), None);
 }
 
 /// The policy that the sixth class has from now on, in a place of its own, as the sidecar lays it.
-fn reroute(stage: &mut Stage, policy: Policy) -> ClassId {
+fn reroute(stage: &mut Harness, policy: Policy) -> ClassId {
     let id = ClassId(stage.balancer.classes().len());
     stage.balancer.put_class(id, Class { policy, ..class(Effect::Repeatable) }, ROUTED);
     id
@@ -253,14 +253,14 @@
     let to = sent_to(&actions).expect("it is sent");
     assert!(stage.balancer.uses(ROUTED));
     let other = reroute(&mut stage, attempts(1));
-    let again = stage.finish(request, 0, to, Outcome::Error, 1.0);
+    let again = stage.finish_attempt(request, 0, to, Outcome::Error, 1.0);
     let to = sent_to(&again).expect("it has attempts left by what it began with");
-    stage.finish(request, 1, to, Outcome::Ok, 1.0);
+    stage.finish_attempt(request, 1, to, Outcome::Ok, 1.0);
     assert!(!stage.balancer.uses(ROUTED) && !stage.balancer.uses(other));
     let (request, actions) = stage.arrive(other);
     let to = sent_to(&actions).expect("it is sent");
     assert_eq!(
-        sent_to(&stage.finish(request, 0, to, Outcome::Error, 1.0)),
+        sent_to(&stage.finish_attempt(request, 0, to, Outcome::Error, 1.0)),
         None,
         "by the new one there are none"
     );
@@ -282,7 +282,7 @@
         stage.now += 10_000.0;
         let (request, actions) = stage.arrive(other);
         let to = sent_to(&actions).expect("it is sent");
-        spent += usize::from(sent_to(&stage.finish(request, 0, to, Outcome::Full, 1.0)).is_some());
+        spent += usize::from(sent_to(&stage.finish_attempt(request, 0, to, Outcome::Full, 1.0)).is_some());
     }
     assert_eq!(spent, 1, "one of three was left");
 }
@@ -299,15 +299,15 @@
         let first = sent_to(&actions).expect("it is sent");
         if first != hangs {
             stage.now += 10.0;
-            stage.finish(request, 0, first, Outcome::Ok, 10.0);
+            stage.finish_attempt(request, 0, first, Outcome::Ok, 10.0);
             continue;
         }
         drawn += 1;
         let (at, token) = wake(&actions).expect("a copy is planned");
         stage.now = at;
-        let second = sent_to(&stage.event(Event::Woke(token))).expect("the copy");
+        let second = sent_to(&stage.handle(Event::Woke(token))).expect("the copy");
         stage.now += 10.0;
-        stage.finish(request, 1, second, Outcome::Ok, 10.0);
+        stage.finish_attempt(request, 1, second, Outcome::Ok, 10.0);
         let cancelled = Finished {
             request,
             attempt: AttemptNo(0),
@@ -317,7 +317,7 @@
             closed: true,
             report: None,
         };
-        stage.event(Event::Finished(cancelled));
+        stage.handle(Event::Finished(cancelled));
     }
     assert!(drawn < 60, "{drawn} of 600 went there; by chance alone a hundred would");
 }
--- a/crates/sagemast/tests/rules.rs
+++ b/crates/sagemast/tests/rules.rs
@@ -12,7 +12,7 @@
 
 #[test]
 fn no_server_is_answered_at_once() {
-    let mut stage = Stage::new(settings(), vec![]);
+    let mut stage = Harness::new(settings(), vec![]);
     for class in 0..5 {
         let (_, actions) = stage.arrive(ClassId(class));
         assert!(refused(&actions), "nothing ran, so it is refused");
@@ -21,57 +21,57 @@
 
 #[test]
 fn one_server_is_used() {
-    let mut stage = Stage::new(settings(), vec![listing(1)]);
-    let (_, actions) = stage.arrive(REPEATABLE);
+    let mut stage = Harness::new(settings(), vec![listing(1)]);
+    let (_, actions) = stage.arrive(IDEMPOTENT);
     assert_eq!(sent_to(&actions), Some(UpstreamId(1)));
 }
 
 #[test]
 fn unknown_class_is_refused() {
-    let mut stage = Stage::new(settings(), cells());
+    let mut stage = Harness::new(settings(), cells());
     let (_, actions) = stage.arrive(ClassId(99));
     assert!(refused(&actions));
 }
 
 #[test]
 fn nothing_goes_out_for_an_ended_request() {
-    let mut stage = Stage::new(settings(), cells());
-    let (request, actions) = stage.arrive(REPEATABLE);
+    let mut stage = Harness::new(settings(), cells());
+    let (request, actions) = stage.arrive(IDEMPOTENT);
     let to = sent_to(&actions).unwrap();
-    let actions = stage.event(Event::Abandoned(request));
+    let actions = stage.handle(Event::Abandoned(request));
     assert_eq!(actions, vec![Action::Cancel { request, attempt: AttemptNo(0) }]);
-    let late = stage.finish(request, 0, to, Outcome::Error, 20.0);
+    let late = stage.finish_attempt(request, 0, to, Outcome::Error, 20.0);
     assert_eq!(sent_to(&late), None);
     assert!(!refused(&late) && !failed(&late), "the client has left");
 }
 
 #[test]
 fn a_time_out_at_the_deadline_fails_a_request_that_may_run_only_once() {
-    let mut stage = Stage::new(settings(), cells());
-    let (request, actions) = stage.arrive(ONCE);
+    let mut stage = Harness::new(settings(), cells());
+    let (request, actions) = stage.arrive(NON_IDEMPOTENT);
     let to = sent_to(&actions).unwrap();
     stage.now += 500.0;
-    let actions = stage.finish(request, 0, to, Outcome::TimedOut, 500.0);
+    let actions = stage.finish_attempt(request, 0, to, Outcome::TimedOut, 500.0);
     assert!(failed(&actions) && !refused(&actions));
 }
 
 #[test]
 fn once_goes_on_only_after_proof_that_it_never_ran() {
     for outcome in [Outcome::Error, Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled] {
-        let mut stage = Stage::new(settings(), cells());
-        let (request, actions) = stage.arrive(ONCE);
+        let mut stage = Harness::new(settings(), cells());
+        let (request, actions) = stage.arrive(NON_IDEMPOTENT);
         let to = sent_to(&actions).unwrap();
         stage.now += 10.0;
-        let actions = stage.finish(request, 0, to, outcome, 10.0);
+        let actions = stage.finish_attempt(request, 0, to, outcome, 10.0);
         assert_eq!(sent_to(&actions), None, "{outcome:?}");
         assert!(failed(&actions), "{outcome:?} may have run: a refusal would promise too much");
     }
     for outcome in [Outcome::Full, Outcome::Unreachable] {
-        let mut stage = Stage::new(settings(), cells());
-        let (request, actions) = stage.arrive(ONCE);
+        let mut stage = Harness::new(settings(), cells());
+        let (request, actions) = stage.arrive(NON_IDEMPOTENT);
         let to = sent_to(&actions).unwrap();
         stage.now += 10.0;
-        let actions = stage.finish(request, 0, to, outcome, 10.0);
+        let actions = stage.finish_attempt(request, 0, to, outcome, 10.0);
         assert!(sent_to(&actions).is_some(), "{outcome:?} proves that it never ran");
     }
 }
@@ -79,13 +79,13 @@
 #[test]
 fn a_keyed_request_stays_in_its_group() {
     for seed in 0..40 {
-        for (class, reach) in [(BY_CELL, 10), (BY_ZONE, 20)] {
-            let mut stage = Stage::new(settings(), cells());
-            (0..seed).for_each(|_| drop(stage.arrive(REPEATABLE)));
+        for (class, reach) in [(CELL_KEYED, 10), (ZONE_KEYED, 20)] {
+            let mut stage = Harness::new(settings(), cells());
+            (0..seed).for_each(|_| drop(stage.arrive(IDEMPOTENT)));
             let (request, actions) = stage.arrive(class);
             let Some(first) = sent_to(&actions) else { continue };
             stage.now += 20.0;
-            let actions = stage.finish(request, 0, first, Outcome::Error, 20.0);
+            let actions = stage.finish_attempt(request, 0, first, Outcome::Error, 20.0);
             if let Some(next) = sent_to(&actions) {
                 assert_eq!(next.0 / reach, first.0 / reach);
             }
@@ -98,17 +98,17 @@
 fn a_keyed_request_is_not_resent_after_its_window() {
     // The window counts from the first send that may have run, not from the latest.
     let mut settings = settings();
-    settings.classes[BY_CELL.0].aim = 5_000.0;
-    let mut stage = Stage::new(settings, cells());
-    stage.event(arrival(9_000, BY_CELL, 5_000.0));
-    (0..2).for_each(|_| drop(stage.event(Event::Woke(9_000 >> 1))));
+    settings.classes[CELL_KEYED.0].aim = 5_000.0;
+    let mut stage = Harness::new(settings, cells());
+    stage.handle(arrival(9_000, CELL_KEYED, 5_000.0));
+    (0..2).for_each(|_| drop(stage.handle(Event::Woke(9_000 >> 1))));
     let request = RequestId(9_000);
     let mut attempt = 0;
     let mut at = None;
     for id in [1, 2, 3, 11, 12, 13, 21, 22, 23] {
         // Find where it went: only the true server's outcome is taken.
         stage.now = 1_200.0;
-        let actions = stage.finish(request, 0, UpstreamId(id), Outcome::Error, 200.0);
+        let actions = stage.finish_attempt(request, 0, UpstreamId(id), Outcome::Error, 200.0);
         if let Some(next) = sent_to(&actions) {
             attempt = 1;
             at = Some(next);
@@ -117,7 +117,7 @@
     }
     let next = at.expect("within the window it is resent");
     stage.now = 1_310.0;
-    let actions = stage.finish(request, attempt, next, Outcome::Error, 110.0);
+    let actions = stage.finish_attempt(request, attempt, next, Outcome::Error, 110.0);
     assert_eq!(sent_to(&actions), None);
     assert!(failed(&actions));
 }
@@ -130,34 +130,34 @@
 fn attempts_have_a_maximum() {
     let mut settings = settings();
     settings.limits.max_attempts = 2;
-    let mut stage = Stage::new(settings, cells());
-    let (request, actions) = stage.arrive(REPEATABLE);
+    let mut stage = Harness::new(settings, cells());
+    let (request, actions) = stage.arrive(IDEMPOTENT);
     let first = sent_to(&actions).unwrap();
-    let actions = stage.finish(request, 0, first, Outcome::Full, 1.0);
+    let actions = stage.finish_attempt(request, 0, first, Outcome::Full, 1.0);
     let second = sent_to(&actions).expect("a second attempt");
-    let actions = stage.finish(request, 1, second, Outcome::Full, 1.0);
+    let actions = stage.finish_attempt(request, 1, second, Outcome::Full, 1.0);
     assert_eq!(sent_to(&actions), None);
     assert!(refused(&actions));
 }
 
 #[test]
 fn draining_and_missing_servers_get_nothing_new() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2), listing(3)]);
+    let mut stage = Harness::new(settings(), vec![listing(1), listing(2), listing(3)]);
     let drain = Listing { lifecycle: Lifecycle::Leaving, ..listing(1) };
-    stage.event(Event::Listed(ListNews::Changed(vec![drain])));
+    stage.handle(Event::Listed(ListNews::Changed(vec![drain])));
     for _ in 0..30 {
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         let to = sent_to(&actions).unwrap();
         assert_ne!(to, UpstreamId(1));
         stage.now += 5.0;
-        stage.finish(request, 0, to, Outcome::Ok, 5.0);
+        stage.finish_attempt(request, 0, to, Outcome::Ok, 5.0);
     }
-    stage.event(Event::Listed(ListNews::Complete(vec![listing(3)])));
+    stage.handle(Event::Listed(ListNews::Complete(vec![listing(3)])));
     for _ in 0..30 {
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         assert_eq!(sent_to(&actions), Some(UpstreamId(3)), "2 is missing from the complete list");
         stage.now += 5.0;
-        stage.finish(request, 0, UpstreamId(3), Outcome::Ok, 5.0);
+        stage.finish_attempt(request, 0, UpstreamId(3), Outcome::Ok, 5.0);
     }
 }
 
@@ -180,14 +180,14 @@
         let (span, per_ms) = (3.0 * fall, 0.9 * SERVERS as f64 / WORK);
         let mut sends: Vec<(UpstreamId, Millis)> = Vec::new();
         for sidecar in 0..sidecars {
-            let mut stage = Stage::seeded(settings.clone(), servers.clone(), u64::from(sidecar));
+            let mut stage = Harness::with_seed(settings.clone(), servers.clone(), u64::from(sidecar));
             let gap = f64::from(sidecars) / per_ms;
             stage.now = start + gap * f64::from(sidecar) / f64::from(sidecars);
             while stage.now < start + span {
-                let (request, actions) = stage.arrive(ONCE);
+                let (request, actions) = stage.arrive(NON_IDEMPOTENT);
                 if let Some(to) = sent_to(&actions) {
                     sends.push((to, stage.now));
-                    stage.finish(request, 0, to, Outcome::Ok, WORK);
+                    stage.finish_attempt(request, 0, to, Outcome::Ok, WORK);
                 }
                 stage.now += gap;
             }
@@ -227,15 +227,15 @@
     let (span, per_ms) = (4.0 * fall, 3.0 * SERVERS as f64 / WORK);
     let mut sends: Vec<(UpstreamId, Millis)> = Vec::new();
     for sidecar in 0..SIDECARS {
-        let mut stage = Stage::seeded(settings.clone(), old.clone(), u64::from(sidecar));
+        let mut stage = Harness::with_seed(settings.clone(), old.clone(), u64::from(sidecar));
         let gap = f64::from(SIDECARS) / per_ms;
         // The old ones are full for a while before.
         for round in 0..200 {
             stage.now = start - gap * f64::from(200 - round);
-            stage.report(1 + (round % 4) as u64, 5.0, 1.0);
-            stage.arrive(ONCE);
+            stage.report_load(1 + (round % 4) as u64, 5.0, 1.0);
+            stage.arrive(NON_IDEMPOTENT);
         }
-        stage.event(Event::Listed(ListNews::Changed(new.clone())));
+        stage.handle(Event::Listed(ListNews::Changed(new.clone())));
         stage.now = start + gap * f64::from(sidecar) / f64::from(SIDECARS);
         let mut number = 0;
         while stage.now < start + span {
@@ -243,11 +243,11 @@
             number += 1;
             let id = 1 + number % SERVERS;
             let (held, used) = if cold(id) { (0.0, 0.1) } else { (5.0, 1.0) };
-            stage.report(id, held, used);
-            let (request, actions) = stage.arrive(ONCE);
+            stage.report_load(id, held, used);
+            let (request, actions) = stage.arrive(NON_IDEMPOTENT);
             if let Some(to) = sent_to(&actions) {
                 sends.push((to, stage.now));
-                stage.finish(request, 0, to, Outcome::Ok, WORK);
+                stage.finish_attempt(request, 0, to, Outcome::Ok, WORK);
             }
             stage.now += gap;
         }
@@ -278,17 +278,17 @@
     let new: Vec<Listing> = (5..=10).map(|id| Listing { started: Some(start), ..sized(id) }).collect();
     let mut to_cold = 0;
     for sidecar in 0..SIDECARS {
-        let mut stage = Stage::seeded(settings.clone(), old.clone(), u64::from(sidecar));
+        let mut stage = Harness::with_seed(settings.clone(), old.clone(), u64::from(sidecar));
         stage.now = start - 2_000.0;
         // Warm servers have all cores in use and a request waiting; nothing is ever heard of the cold ones.
-        stage.settle(&[1, 2, 3, 4], 4.0, 0.95);
+        stage.report_steady_load(&[1, 2, 3, 4], 4.0, 0.95);
         stage.now = start + 5_000.0;
-        stage.event(Event::Listed(ListNews::Changed(new.clone())));
+        stage.handle(Event::Listed(ListNews::Changed(new.clone())));
         for _ in 0..10 {
-            let (request, actions) = stage.arrive(ONCE);
+            let (request, actions) = stage.arrive(NON_IDEMPOTENT);
             if let Some(to) = sent_to(&actions) {
                 to_cold += u32::from(to.0 > 4);
-                stage.finish(request, 0, to, Outcome::Ok, 150.0);
+                stage.finish_attempt(request, 0, to, Outcome::Ok, 150.0);
             }
         }
     }
@@ -297,20 +297,20 @@
 
 #[test]
 fn a_restart_under_the_same_id_is_cold_again() {
-    let mut stage = Stage::new(settings(), vec![listing(1)]);
-    let accepted = |stage: &mut Stage| {
+    let mut stage = Harness::new(settings(), vec![listing(1)]);
+    let accepted = |stage: &mut Harness| {
         let mut accepted = 0;
         for _ in 0..50 {
-            let (request, actions) = stage.arrive(REPEATABLE);
+            let (request, actions) = stage.arrive(IDEMPOTENT);
             accepted += u32::from(sent_to(&actions).is_some());
-            stage.event(Event::Abandoned(request));
-            stage.finish(request, 0, UpstreamId(1), Outcome::Cancelled, 1.0);
+            stage.handle(Event::Abandoned(request));
+            stage.finish_attempt(request, 0, UpstreamId(1), Outcome::Cancelled, 1.0);
         }
         accepted
     };
     assert_eq!(accepted(&mut stage), 50, "it is warm");
     let again = Listing { started: Some(stage.now), ..listing(1) };
-    stage.event(Event::Listed(ListNews::Changed(vec![again])));
+    stage.handle(Event::Listed(ListNews::Changed(vec![again])));
     let cold = accepted(&mut stage);
     assert!((1..25).contains(&cold), "{cold} of 50 once it is cold again");
 }
@@ -319,16 +319,16 @@
 /// ended the request, and where a sidecar's own zone had just restarted, most of them.
 #[test]
 fn what_a_cold_pair_may_not_take_goes_to_a_warm_server() {
-    let mut stage = Stage::new(settings(), (1..=3).map(listing).collect());
+    let mut stage = Harness::new(settings(), (1..=3).map(listing).collect());
     let again = [1, 2].map(|id| Listing { started: Some(stage.now), ..listing(id) });
-    stage.event(Event::Listed(ListNews::Changed(again.to_vec())));
+    stage.handle(Event::Listed(ListNews::Changed(again.to_vec())));
     let mut to_cold = 0;
     for _ in 0..60 {
         stage.now += 50.0;
-        let (request, actions) = stage.arrive(ONCE);
+        let (request, actions) = stage.arrive(NON_IDEMPOTENT);
         let to = sent_to(&actions).expect("the warm one is idle");
         to_cold += u32::from(to.0 < 3);
-        stage.finish(request, 0, to, Outcome::Ok, 20.0);
+        stage.finish_attempt(request, 0, to, Outcome::Ok, 20.0);
     }
     assert!((1..30).contains(&to_cold), "{to_cold} of 60 to the cold ones");
 }
@@ -339,17 +339,17 @@
 fn a_pair_drawn_in_vain_for_a_cold_server_is_not_the_last() {
     let mut settings = Settings { sidecars: 300, crossing_fee: 0.02, sizes_listed: true, ..settings() };
     settings.safety.warm_up = 100_000.0;
-    let mut stage = Stage::new(settings, vec![listing(1)]);
+    let mut stage = Harness::new(settings, vec![listing(1)]);
     let far = |id| Listing { zone: ZoneId(1), ..listing(id) };
     let cold = |id| Listing { started: Some(stage.now), ..far(id) };
-    stage.event(Event::Listed(ListNews::Changed(vec![cold(2), cold(3), far(4)])));
+    stage.handle(Event::Listed(ListNews::Changed(vec![cold(2), cold(3), far(4)])));
     for _ in 0..100 {
         stage.now += 20.0;
         for (id, held) in [(1, 6.0), (2, 0.0), (3, 0.0), (4, 0.0)] {
-            stage.report(id, held, 0.9);
+            stage.report_load(id, held, 0.9);
         }
-        let (request, actions) = stage.arrive(ONCE);
+        let (request, actions) = stage.arrive(NON_IDEMPOTENT);
         let to = sent_to(&actions).expect("the warm one of the other zone is idle");
-        stage.finish(request, 0, to, Outcome::Ok, 10.0);
+        stage.finish_attempt(request, 0, to, Outcome::Ok, 10.0);
     }
 }
--- a/crates/sagemast/tests/scale.rs
+++ b/crates/sagemast/tests/scale.rs
@@ -8,11 +8,11 @@
 use sagemast::api::*;
 
 /// Sends one request and answers it in 20 ms; where it went.
-fn served(stage: &mut Stage) -> Option<UpstreamId> {
-    let (request, actions) = stage.arrive(REPEATABLE);
+fn served(stage: &mut Harness) -> Option<UpstreamId> {
+    let (request, actions) = stage.arrive(IDEMPOTENT);
     let to = sent_to(&actions)?;
     stage.now += 20.0;
-    stage.finish(request, 0, to, Outcome::Ok, 20.0);
+    stage.finish_attempt(request, 0, to, Outcome::Ok, 20.0);
     Some(to)
 }
 
@@ -21,7 +21,7 @@
 fn three_ready_of_ten_thousand_take_all() {
     let leaving = |id: u64| if id % 3_000 == 1_234 { Lifecycle::Serving } else { Lifecycle::Leaving };
     let list = (0..10_000).map(|id| Listing { lifecycle: leaving(id), ..listing(id) }).collect();
-    let mut stage = Stage::new(settings(), list);
+    let mut stage = Harness::new(settings(), list);
     let used: BTreeSet<u64> = (0..300).map(|_| served(&mut stage).expect("there is room").0).collect();
     assert_eq!(used, BTreeSet::from([1_234, 4_234, 7_234]));
 }
@@ -30,16 +30,16 @@
 /// anything, and what they still answer does no harm.
 #[test]
 fn a_list_replaced_whole_leaves_nothing_of_the_old_one() {
-    let mut stage = Stage::new(settings(), (0..50).map(listing).collect());
-    let held: Vec<_> = (0..20).map(|_| stage.arrive(REPEATABLE)).collect();
-    stage.event(Event::Listed(ListNews::Complete((100..150).map(listing).collect())));
+    let mut stage = Harness::new(settings(), (0..50).map(listing).collect());
+    let held: Vec<_> = (0..20).map(|_| stage.arrive(IDEMPOTENT)).collect();
+    stage.handle(Event::Listed(ListNews::Complete((100..150).map(listing).collect())));
     for _ in 0..200 {
         assert!(served(&mut stage).expect("there is room").0 >= 100);
     }
     for (request, actions) in held {
         let to = sent_to(&actions).expect("there was room");
         assert!(to.0 < 50);
-        let after = stage.finish(request, 0, to, Outcome::Unreachable, 30.0);
+        let after = stage.finish_attempt(request, 0, to, Outcome::Unreachable, 30.0);
         assert!(sent_to(&after).is_none_or(|to| to.0 >= 100), "{after:?}");
     }
 }
@@ -47,23 +47,23 @@
 /// Guards against sets that fall behind the list: a hundred joins and leaves a second, for thirty seconds.
 #[test]
 fn servers_that_join_and_leave_are_followed_at_once() {
-    let mut stage = Stage::new(settings(), (0..10).map(listing).collect());
+    let mut stage = Harness::new(settings(), (0..10).map(listing).collect());
     let mut serving: BTreeSet<u64> = (0..10).collect();
     for round in 0..3_000_u64 {
         stage.now += 10.0;
         let id = (round * 7) % 23;
         let joins = serving.len() < 5 || (!serving.contains(&id) && serving.len() < 15);
         let lifecycle = if joins { Lifecycle::Serving } else { Lifecycle::Leaving };
-        stage.event(Event::Listed(ListNews::Changed(vec![Listing { lifecycle, ..listing(id) }])));
+        stage.handle(Event::Listed(ListNews::Changed(vec![Listing { lifecycle, ..listing(id) }])));
         if joins {
             serving.insert(id)
         } else {
             serving.remove(&id)
         };
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         let to = sent_to(&actions).expect("there is room");
         assert!(serving.contains(&to.0), "{to:?} at round {round}");
-        stage.finish(request, 0, to, Outcome::Ok, 5.0);
+        stage.finish_attempt(request, 0, to, Outcome::Ok, 5.0);
     }
 }
 
@@ -72,24 +72,24 @@
 #[test]
 fn service_is_as_before_within_seconds_after_a_jam() {
     let ids: Vec<u64> = (1..=9).collect();
-    let mut stage = Stage::new(settings(), ids.iter().copied().map(listing).collect());
-    stage.settle(&ids, 1.0, 0.33);
+    let mut stage = Harness::new(settings(), ids.iter().copied().map(listing).collect());
+    stage.report_steady_load(&ids, 1.0, 0.33);
     let mut refusals = [0, 0, 0];
     for round in 0..3_000_usize {
         stage.now += 10.0;
         let (jam, period) = ((1_000..2_000).contains(&round), round / 1_000);
         if round % 30 == 0 {
             let (in_flight, used) = if jam { (9.0, 1.0) } else { (1.0, 0.33) };
-            ids.iter().for_each(|id| stage.report(*id, in_flight, used));
+            ids.iter().for_each(|id| stage.report_load(*id, in_flight, used));
         }
-        let (request, mut actions) = stage.arrive(REPEATABLE);
+        let (request, mut actions) = stage.arrive(IDEMPOTENT);
         let mut attempt = 0;
         while let Some(to) = sent_to(&actions) {
             let outcome = match (jam, round % 2) {
                 (true, 0) => Outcome::Full,
                 _ => Outcome::Ok,
             };
-            actions = stage.finish(request, attempt, to, outcome, if jam { 400.0 } else { 30.0 });
+            actions = stage.finish_attempt(request, attempt, to, outcome, if jam { 400.0 } else { 30.0 });
             attempt += 1;
         }
         // The first second after the jam, its reports are still believed.
@@ -105,16 +105,16 @@
 /// answers the others, those that hang must not keep the others out.
 #[test]
 fn sends_that_hang_hold_no_place_at_a_server_that_answers() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
-    stage.settle(&[1, 2], 1.0, 0.25);
+    let mut stage = Harness::new(settings(), vec![listing(1), listing(2)]);
+    stage.report_steady_load(&[1, 2], 1.0, 0.25);
     for round in 0..200 {
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         let to = sent_to(&actions).expect("there is room");
         stage.now += 20.0;
         if round % 5 > 0 {
-            stage.finish(request, 0, to, Outcome::Ok, 20.0);
+            stage.finish_attempt(request, 0, to, Outcome::Ok, 20.0);
         }
-        [1, 2].into_iter().for_each(|id| stage.report(id, 1.0, 0.25));
+        [1, 2].into_iter().for_each(|id| stage.report_load(id, 1.0, 0.25));
     }
 }
 
@@ -124,14 +124,15 @@
 fn probes_are_held_to_what_arrivals_pay_for_them() {
     let asked_with = |fee: f64, repeats: u32| {
         let servers: Vec<_> = (0..200).map(listing).collect();
-        let mut stage = Stage::new(Settings { probe_fee: fee, ..settings() }, servers);
+        let mut stage = Harness::new(Settings { probe_fee: fee, ..settings() }, servers);
         let mut probes = 0;
         for number in 0..400 * (1 + repeats) {
             stage.now += 20.0 / f64::from(1 + repeats);
-            let (request, actions) = stage.arrive_again(ONCE, number % (1 + repeats) > 0);
+            let (request, actions) =
+                stage.arrive_with_repeat_flag(NON_IDEMPOTENT, number % (1 + repeats) > 0);
             probes += actions.iter().filter(|action| matches!(action, Action::Probe(_))).count();
             if let Some(to) = sent_to(&actions) {
-                stage.finish(request, 0, to, Outcome::Ok, 20.0);
+                stage.finish_attempt(request, 0, to, Outcome::Ok, 20.0);
             }
         }
         probes
@@ -149,18 +150,18 @@
 #[test]
 fn a_jam_is_over_soon_after_rare_reports_tell_so() {
     let servers = (0..200).map(|id| Listing { weight: 3.0, ..listing(id) }).collect();
-    let mut stage = Stage::new(Settings { sidecars: 300, sizes_listed: true, ..settings() }, servers);
-    let refusals = |stage: &mut Stage, in_flight: f64, reports: u64| {
+    let mut stage = Harness::new(Settings { sidecars: 300, sizes_listed: true, ..settings() }, servers);
+    let refusals = |stage: &mut Harness, in_flight: f64, reports: u64| {
         for id in 0..reports {
             stage.now += 1_000.0;
-            stage.report(id, in_flight, 1.0);
+            stage.report_load(id, in_flight, 1.0);
         }
         stage.now += 2_000.0;
         let refusals = (0..50).filter(|_| {
-            let (request, actions) = stage.arrive(ONCE);
+            let (request, actions) = stage.arrive(NON_IDEMPOTENT);
             // What was sent is over before the next comes.
             if let Some(to) = sent_to(&actions) {
-                stage.finish(request, 0, to, Outcome::Cancelled, 1.0);
+                stage.finish_attempt(request, 0, to, Outcome::Cancelled, 1.0);
             }
             refused(&actions)
         });
@@ -175,14 +176,14 @@
 /// that had a long queue 1.5 s ago looked like any other, and was sent as much.
 #[test]
 fn a_queue_told_of_lately_is_still_avoided() {
-    let mut stage = Stage::new(settings(), (0..10).map(listing).collect());
-    stage.report(1, 0.0, 0.0);
-    stage.report(0, 3.0, 1.0);
+    let mut stage = Harness::new(settings(), (0..10).map(listing).collect());
+    stage.report_load(1, 0.0, 0.0);
+    stage.report_load(0, 3.0, 1.0);
     stage.now += 1_500.0;
     let sends = (0..200).filter(|_| {
-        let (request, actions) = stage.arrive(ONCE);
+        let (request, actions) = stage.arrive(NON_IDEMPOTENT);
         let to = sent_to(&actions).expect("nine servers have nothing to do");
-        stage.finish(request, 0, to, Outcome::Cancelled, 1.0);
+        stage.finish_attempt(request, 0, to, Outcome::Cancelled, 1.0);
         to == UpstreamId(0)
     });
     assert_eq!(sends.count(), 0, "it had a queue 1.5 s ago, and of most others nothing is known");
