--- a/crates/sagemast/tests/common/mod.rs
+++ b/crates/sagemast/tests/common/mod.rs
@@ -1,23 +1,34 @@
-//! A small stage for the module: settings, servers and events, without any bench.
+//! Test harness for the decision module. It builds settings and servers, passes events to a `Balancer`
+//! and reads the actions that the balancer returns. It needs no simulator, network or clock.
 #![allow(dead_code)]
 
 use sagemast::Balancer;
 use sagemast::api::*;
 
+// The request classes of `settings()`, one for each way in which a request may be repeated.
+
+/// Requests that may run any number of times.
 pub const IDEMPOTENT: ClassId = ClassId(0);
+/// Requests that the servers of one cell deduplicate by idempotency key.
 pub const CELL_KEYED: ClassId = ClassId(1);
+/// Requests that must never run twice.
 pub const NON_IDEMPOTENT: ClassId = ClassId(2);
+/// Requests that the servers of one zone deduplicate by idempotency key.
 pub const ZONE_KEYED: ClassId = ClassId(3);
+/// Requests that all servers together deduplicate by idempotency key.
 pub const GLOBALLY_KEYED: ClassId = ClassId(4);
 
+/// A class with the given repeat semantics, a latency objective of 200 ms and the default policy.
 pub fn class(effect: Effect) -> Class {
     Class { aim: 200.0, worth: 1.0, late_worth: 0.0, effect, policy: Default::default() }
 }
 
+/// A class of requests whose repeats the servers in `scope` discard for 300 ms, by idempotency key.
 pub fn keyed_class(scope: Scope) -> Class {
     class(Effect::ByKey { scope, window: 300.0 })
 }
 
+/// Settings of one of two sidecars, with the five classes above and no tenants.
 pub fn settings() -> Settings {
     Settings {
         classes: vec![
@@ -49,6 +60,7 @@
     }
 }
 
+/// A serving server of zone 0, as discovery lists it. Ten servers with consecutive ids share a cell.
 pub fn listing(id: u64) -> Listing {
     Listing {
         upstream: UpstreamId(id),
@@ -61,27 +73,35 @@
     }
 }
 
-/// Drives one module and keeps what it did last.
+/// Passes events to one balancer and keeps the clock that it sees.
 pub struct Harness {
     pub balancer: Balancer,
     pub now: Millis,
-    next: u64,
-    reports: f64,
+    /// The id of the last request.
+    last_request: u64,
+    /// How many load reports were sent, over all servers.
+    report_count: f64,
 }
 
 impl Harness {
+    /// A harness whose balancer starts with this list of servers and the usual random seed.
     pub fn new(settings: Settings, servers: Vec<Listing>) -> Harness {
         Harness::with_seed(settings, servers, 7)
     }
 
+    /// The same with another random seed.
     pub fn with_seed(settings: Settings, servers: Vec<Listing>, seed: u64) -> Harness {
-        let mut stage =
-            Harness { balancer: Balancer::new(settings, seed), now: 1_000.0, next: 0, reports: 0.0 };
-        stage.handle(Event::Listed(ListNews::Restored(servers)));
-        stage
+        let mut harness = Harness {
+            balancer: Balancer::new(settings, seed),
+            now: 1_000.0,
+            last_request: 0,
+            report_count: 0.0,
+        };
+        harness.handle(Event::Listed(ListNews::Restored(servers)));
+        harness
     }
 
-    /// Reports the same from all these servers for long enough to be believed.
+    /// Reports the same load from all these servers every 50 ms for 2 s, so that the balancer trusts it.
     pub fn report_steady_load(&mut self, ids: &[u64], in_flight: f64, utilisation: f64) {
         for _ in 0..40 {
             self.now += 50.0;
@@ -89,26 +109,28 @@
         }
     }
 
+    /// Passes one event to the balancer at the present time. Returns the resulting actions.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
-        let mut out = Vec::new();
-        self.balancer.handle(self.now, event, &mut out);
-        out
+        let mut actions = Vec::new();
+        self.balancer.handle(self.now, event, &mut actions);
+        actions
     }
 
-    /// A request comes in; its id and what was done.
+    /// A request of this class arrives, with 500 ms left. Returns its id and the resulting actions.
     pub fn arrive(&mut self, class: ClassId) -> (RequestId, Vec<Action>) {
         self.arrive_with_repeat_flag(class, false)
     }
 
-    /// The same, and whether its client says that it tries again.
+    /// The same. `repeat` says whether the client marks the request as a retry.
     pub fn arrive_with_repeat_flag(&mut self, class: ClassId, repeat: bool) -> (RequestId, Vec<Action>) {
-        self.next += 1;
-        let request = RequestId(self.next);
+        self.last_request += 1;
+        let request = RequestId(self.last_request);
         let event = Event::Arrived { request, class, tenant: TenantId(0), time_left: 500.0, repeat };
         let actions = self.handle(event);
         (request, actions)
     }
 
+    /// An attempt ends. The client has its final answer if the outcome is `Ok`.
     pub fn finish_attempt(
         &mut self,
         request: RequestId,
@@ -128,20 +150,21 @@
         }))
     }
 
+    /// A server answers a load poll.
     pub fn report_load(&mut self, id: u64, in_flight: f64, utilisation: f64) {
-        // Every report is a new one: the last figure is different each time.
-        self.reports += 1.0;
+        // The balancer learns nothing from a report that repeats the last one, so one value always changes.
+        self.report_count += 1.0;
         let report = Report {
             in_flight: Some(in_flight),
             utilisation: Some(utilisation),
-            served_per_s: Some(self.reports),
+            served_per_s: Some(self.report_count),
             ..Report::default()
         };
         self.handle(Event::Probed { upstream: UpstreamId(id), answered: true, report: Some(report) });
     }
 }
 
-/// Where the first send among these actions goes.
+/// The server of the first send among these actions, if there is one.
 pub fn sent_to(actions: &[Action]) -> Option<UpstreamId> {
     actions.iter().find_map(|action| match action {
         Action::Send { upstream, .. } => Some(*upstream),
@@ -149,10 +172,12 @@
     })
 }
 
+/// Whether one of these actions refuses a request.
 pub fn refused(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Refuse { .. }))
 }
 
+/// Whether one of these actions fails a request.
 pub fn failed(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Fail(_)))
 }
