--- a/crates/sagemast/tests/any_order.rs
+++ b/crates/sagemast/tests/any_order.rs
@@ -1,4 +1,9 @@
-//! Arbitrary legal event orders: rules 1 to 3 hold on the actions, and nothing panics.
+//! Randomised simulation of one sidecar. It passes events to the balancer in any order that the interface
+//! allows, with absurd figures among them, and checks every action. The balancer must not panic, and:
+//!
+//! - each request gets one final answer, and none is forgotten;
+//! - no attempt goes to a server that takes no new work;
+//! - a request is sent again only where its class, its route's policy and the limits allow it.
 
 mod common;
 
@@ -11,203 +16,240 @@
 use sagemast::Balancer;
 use sagemast::api::*;
 
-struct Try {
+/// An attempt that the balancer asked for.
+struct Attempt {
     upstream: UpstreamId,
     sent: Millis,
     timeout: Millis,
     outcome: Option<Outcome>,
 }
 
-struct Seen {
+/// A request and what the balancer has done about it.
+struct RequestState {
     class: usize,
     tenant: TenantId,
     deadline: Millis,
-    tries: Vec<Try>,
+    attempts: Vec<Attempt>,
+    /// Whether it has its final answer, or its client has left.
     ended: bool,
 }
 
-/// A world that answers at random and checks every action against the rules.
-struct World {
+/// Clients, servers and discovery. They act at random, and every action of the balancer is checked.
+struct Simulation {
     settings: Settings,
     rng: Rand64,
     now: Millis,
-    requests: BTreeMap<RequestId, Seen>,
+    requests: BTreeMap<RequestId, RequestState>,
     serving: BTreeMap<UpstreamId, bool>,
+    /// Servers whose load polls are not answered yet.
     probes: Vec<UpstreamId>,
-    /// Timers that have not come due.
-    wakes: Vec<(Millis, u64)>,
-    /// Whether a fleet tells something as well, and where requests may go by it.
-    told: bool,
-    within: Option<Residency>,
+    /// Timers that are not due yet: time and token.
+    timers: Vec<(Millis, u64)>,
+    /// Whether other sidecars send guidance, too.
+    with_guidance: bool,
+    /// The zones that requests may go to, by the latest guidance.
+    residency: Option<Residency>,
 }
 
-impl World {
-    fn pick(&mut self, below: usize) -> usize {
-        self.rng.rand_range(0..below as u64) as usize
+impl Simulation {
+    /// A random number from 0 to `limit - 1`.
+    fn random_below(&mut self, limit: usize) -> usize {
+        self.rng.rand_range(0..limit as u64) as usize
     }
 
-    fn check(&mut self, actions: &[Action]) {
+    /// Checks the actions that follow one event, and records them.
+    fn check_actions(&mut self, actions: &[Action]) {
         for action in actions {
             match action {
                 Action::Send { request, upstream, timeout } => {
-                    let seen = self.requests.get_mut(request).expect("a known request");
-                    assert!(!seen.ended, "sent after its end");
-                    assert!(self.serving[upstream], "sent to a server that has left");
-                    let (class, zone) = (ClassId(seen.class), ZoneId(upstream.0 / 20));
-                    let within = self.within.as_ref();
-                    assert!(within.is_none_or(|w| w.allows(class, seen.tenant, zone)), "outside its rings");
-                    assert!((seen.tries.len() as u32) < self.settings.limits.max_attempts);
-                    let policy = &self.settings.classes[seen.class].policy;
-                    let copies = self.settings.limits.duplicates && policy.second_copy.is_some();
-                    let out: Vec<&Try> = seen.tries.iter().filter(|t| t.outcome.is_none()).collect();
-                    assert!(out.len() <= usize::from(copies), "{} attempts out already", out.len());
-                    assert!(out.iter().all(|t| t.upstream != *upstream), "a copy to the same server");
+                    let state = self.requests.get_mut(request).expect("a known request");
+                    assert!(!state.ended, "sent after the request had ended");
+                    assert!(self.serving[upstream], "sent to a server that takes no new work");
+                    let (class, zone) = (ClassId(state.class), ZoneId(upstream.0 / 20));
+                    let residency = self.residency.as_ref();
+                    assert!(
+                        residency.is_none_or(|r| r.allows(class, state.tenant, zone)),
+                        "outside its residency zones"
+                    );
+                    assert!((state.attempts.len() as u32) < self.settings.limits.max_attempts);
+                    let policy = &self.settings.classes[state.class].policy;
+                    let hedged = self.settings.limits.duplicates && policy.second_copy.is_some();
+                    let in_flight: Vec<&Attempt> =
+                        state.attempts.iter().filter(|a| a.outcome.is_none()).collect();
+                    assert!(
+                        in_flight.len() <= usize::from(hedged),
+                        "{} attempts are in flight already",
+                        in_flight.len()
+                    );
+                    assert!(
+                        in_flight.iter().all(|a| a.upstream != *upstream),
+                        "hedged request to the same server"
+                    );
                     if let Some(most) = policy.attempt_timeout {
-                        assert!(*timeout <= most.0, "longer than its route allows");
+                        assert!(*timeout <= most.0, "longer timeout than the route allows");
                     }
                     if let Some(most) = policy.sends() {
-                        assert!((seen.tries.len() as u32) < most, "more sends than its route allows");
+                        assert!((state.attempts.len() as u32) < most, "more attempts than the route allows");
                     }
-                    let first = seen.tries.iter().find(|t| t.outcome.is_none_or(Outcome::may_have_run));
-                    if let Some(first) = first {
-                        match self.settings.classes[seen.class].effect {
+                    let first_run =
+                        state.attempts.iter().find(|a| a.outcome.is_none_or(Outcome::may_have_run));
+                    if let Some(first_run) = first_run {
+                        match self.settings.classes[state.class].effect {
                             Effect::Repeatable => {}
-                            Effect::Once => panic!("may run twice"),
+                            Effect::Once => panic!("a request that is not idempotent may run twice"),
                             Effect::ByKey { scope, window } => {
-                                assert!(self.now <= first.sent + window, "outside the window");
+                                assert!(
+                                    self.now <= first_run.sent + window,
+                                    "sent again after the idempotency window"
+                                );
                                 match scope {
                                     Scope::All => {}
-                                    Scope::Zone => assert_eq!(upstream.0 / 20, first.upstream.0 / 20),
-                                    Scope::Cell => assert_eq!(upstream.0 / 10, first.upstream.0 / 10),
+                                    Scope::Zone => assert_eq!(upstream.0 / 20, first_run.upstream.0 / 20),
+                                    Scope::Cell => assert_eq!(upstream.0 / 10, first_run.upstream.0 / 10),
                                 }
                             }
                         }
                     }
                     assert!(timeout.is_finite() && *timeout >= 0.0);
-                    let timeout = timeout.min(seen.deadline - self.now);
+                    let timeout = timeout.min(state.deadline - self.now);
                     let (upstream, sent) = (*upstream, self.now);
-                    seen.tries.push(Try { upstream, sent, timeout, outcome: None });
+                    state.attempts.push(Attempt { upstream, sent, timeout, outcome: None });
                 }
                 Action::Refuse { request, reason, .. } => {
-                    let seen = self.requests.get_mut(request).expect("a known request");
-                    assert!(!std::mem::replace(&mut seen.ended, true), "answered twice");
-                    assert!(*reason != Reason::Shed || seen.tries.is_empty(), "shed after a send");
-                    let ran = seen.tries.iter().any(|t| t.outcome.is_none_or(Outcome::may_have_run));
-                    match self.settings.classes[seen.class].effect {
+                    let state = self.requests.get_mut(request).expect("a known request");
+                    assert!(!std::mem::replace(&mut state.ended, true), "answered twice");
+                    assert!(
+                        *reason != Reason::Shed || state.attempts.is_empty(),
+                        "shed after its first attempt"
+                    );
+                    let may_have_run =
+                        state.attempts.iter().any(|a| a.outcome.is_none_or(Outcome::may_have_run));
+                    match self.settings.classes[state.class].effect {
                         Effect::Repeatable | Effect::ByKey { scope: Scope::All, .. } => {}
-                        _ => assert!(!ran, "a refusal promises that it never ran"),
+                        _ => assert!(
+                            !may_have_run,
+                            "refused, which promises that it never ran, although it may have"
+                        ),
                     }
                 }
                 Action::Fail(request) => {
-                    let seen = self.requests.get_mut(request).expect("a known request");
-                    assert!(!std::mem::replace(&mut seen.ended, true), "answered twice");
+                    let state = self.requests.get_mut(request).expect("a known request");
+                    assert!(!std::mem::replace(&mut state.ended, true), "answered twice");
                 }
                 Action::Probe(upstream) => self.probes.push(*upstream),
                 Action::Cancel { request, attempt } => {
-                    assert!(self.requests[request].tries.len() > attempt.0 as usize);
+                    assert!(self.requests[request].attempts.len() > attempt.0 as usize);
                 }
                 Action::WakeAt { at, token } => {
                     assert!(at.is_finite());
-                    self.wakes.push((*at, *token));
+                    self.timers.push((*at, *token));
                 }
                 Action::Log { .. } => {}
             }
         }
     }
 
-    fn listing(&mut self) -> Listing {
-        let id = 1 + self.pick(39) as u64;
-        let lifecycle = if self.pick(4) == 0 { Lifecycle::Leaving } else { Lifecycle::Serving };
-        let started = (self.pick(6) == 0).then_some(self.now);
-        let weight = [1.0, 2.0, 0.0, f64::NAN, -1.0, 0.5][self.pick(6)];
+    /// A server, serving or draining, that may have just started and may have an absurd weight.
+    fn random_listing(&mut self) -> Listing {
+        let id = 1 + self.random_below(39) as u64;
+        let lifecycle = if self.random_below(4) == 0 { Lifecycle::Leaving } else { Lifecycle::Serving };
+        let started = (self.random_below(6) == 0).then_some(self.now);
+        let weight = [1.0, 2.0, 0.0, f64::NAN, -1.0, 0.5][self.random_below(6)];
         Listing { zone: ZoneId(id / 20), lifecycle, started, weight, ..listing(id) }
     }
 
-    fn report(&mut self) -> Option<Report> {
-        let absurd = [0.0, -3.0, f64::NAN, f64::INFINITY, 1e300, 0.5, 7.0, 30.0];
-        let (m, u) = (absurd[self.pick(8)], absurd[self.pick(8)]);
-        let report = Report { in_flight: Some(m), utilisation: Some(u), ..Report::default() };
-        (self.pick(5) > 0).then_some(report)
+    /// A load report, often absurd, or none.
+    fn random_report(&mut self) -> Option<Report> {
+        let values = [0.0, -3.0, f64::NAN, f64::INFINITY, 1e300, 0.5, 7.0, 30.0];
+        let (in_flight, utilisation) = (values[self.random_below(8)], values[self.random_below(8)]);
+        let report =
+            Report { in_flight: Some(in_flight), utilisation: Some(utilisation), ..Report::default() };
+        (self.random_below(5) > 0).then_some(report)
     }
 
-    /// What a fleet may tell, sound or not.
-    fn telling(&mut self) -> Event {
-        let ids = |world: &mut World| -> BTreeSet<UpstreamId> {
-            (0..world.pick(9)).map(|_| UpstreamId(world.pick(40) as u64)).collect()
+    /// Guidance or news from other sidecars, sensible or absurd.
+    fn random_guidance(&mut self) -> Event {
+        let ids = |simulation: &mut Simulation| -> BTreeSet<UpstreamId> {
+            (0..simulation.random_below(9)).map(|_| UpstreamId(simulation.random_below(40) as u64)).collect()
         };
-        match self.pick(4) {
+        match self.random_below(4) {
             0 => {
-                let rings: Vec<_> = (0..self.pick(4))
-                    .map(|_| (0..self.pick(3)).map(|_| ZoneId(self.pick(3) as u64)).collect())
+                let rings: Vec<_> = (0..self.random_below(4))
+                    .map(|_| (0..self.random_below(3)).map(|_| ZoneId(self.random_below(3) as u64)).collect())
                     .collect();
-                let ring = |world: &mut World| (world.pick(2) == 0).then(|| world.pick(4));
-                let classes = (0..3 + self.pick(3)).map(|_| ring(self)).collect();
+                let ring = |simulation: &mut Simulation| {
+                    (simulation.random_below(2) == 0).then(|| simulation.random_below(4))
+                };
+                let classes = (0..3 + self.random_below(3)).map(|_| ring(self)).collect();
                 let residency = Residency { rings, classes, tenants: vec![None, ring(self)] };
-                self.within = Some(residency.clone());
+                self.residency = Some(residency.clone());
                 Event::Within(residency)
             }
             1 => {
-                let (upstream, well) = (UpstreamId(self.pick(40) as u64), self.pick(2) == 0);
+                let (upstream, well) = (UpstreamId(self.random_below(40) as u64), self.random_below(2) == 0);
                 Event::Tried { upstream, well }
             }
             2 => {
-                let age = [0.0, -5.0, 40.0, 3_000.0, f64::NAN][self.pick(5)];
-                let report = self.report().unwrap_or_default();
-                Event::Reported { upstream: UpstreamId(self.pick(40) as u64), report, age }
+                let age = [0.0, -5.0, 40.0, 3_000.0, f64::NAN][self.random_below(5)];
+                let report = self.random_report().unwrap_or_default();
+                Event::Reported { upstream: UpstreamId(self.random_below(40) as u64), report, age }
             }
             _ => {
-                let allowance = Allowance { share: [0.0, 0.2, f64::NAN][self.pick(3)], burst: 2 };
+                let allowance = Allowance { share: [0.0, 0.2, f64::NAN][self.random_below(3)], burst: 2 };
                 let lease = ColdLease { requests: 1, until: self.now + 50.0 };
                 let cold = ids(self);
                 Event::Guided(Box::new(Guidance {
                     admit: vec![0.5, 1.0, f64::NAN],
-                    retries: (self.pick(2) == 0).then_some(allowance),
-                    copies: (self.pick(2) == 0).then_some(allowance),
-                    probes: (self.pick(2) == 0).then(|| ids(self)),
-                    trials: (self.pick(2) == 0).then(|| ids(self)),
-                    cold: (self.pick(2) == 0).then(|| cold.into_iter().map(|id| (id, lease)).collect()),
-                    come_back: [None, Some([0.2, 0.4]), Some([f64::NAN, 9.0])][self.pick(3)],
+                    retries: (self.random_below(2) == 0).then_some(allowance),
+                    copies: (self.random_below(2) == 0).then_some(allowance),
+                    probes: (self.random_below(2) == 0).then(|| ids(self)),
+                    trials: (self.random_below(2) == 0).then(|| ids(self)),
+                    cold: (self.random_below(2) == 0)
+                        .then(|| cold.into_iter().map(|id| (id, lease)).collect()),
+                    come_back: [None, Some([0.2, 0.4]), Some([f64::NAN, 9.0])][self.random_below(3)],
                 }))
             }
         }
     }
 
-    /// The next event: something due, or something at random.
-    fn event(&mut self, number: u64) -> Event {
+    /// The next event: an attempt or a timer that is due, or else one at random. `number` is new each time.
+    fn next_event(&mut self, number: u64) -> Event {
         let now = self.now;
-        if self.told && self.pick(12) == 0 {
-            return self.telling();
+        if self.with_guidance && self.random_below(12) == 0 {
+            return self.random_guidance();
         }
-        let due = self.requests.iter().find_map(|(id, seen)| {
-            let at = seen.tries.iter().position(|t| t.outcome.is_none() && t.sent + t.timeout <= now)?;
+        let due = self.requests.iter().find_map(|(id, state)| {
+            let at = state.attempts.iter().position(|a| a.outcome.is_none() && a.sent + a.timeout <= now)?;
             Some((*id, at))
         });
         if let Some((request, at)) = due {
-            return self.end(request, at, Outcome::TimedOut);
+            return self.finish_attempt(request, at, Outcome::TimedOut);
         }
-        if let Some(at) = self.wakes.iter().position(|(at, _)| *at <= now) {
-            return Event::Woke(self.wakes.remove(at).1);
+        if let Some(at) = self.timers.iter().position(|(at, _)| *at <= now) {
+            return Event::Woke(self.timers.remove(at).1);
         }
-        let out: Vec<(RequestId, usize)> = self
+        let in_flight: Vec<(RequestId, usize)> = self
             .requests
             .iter()
-            .flat_map(|(id, seen)| seen.tries.iter().enumerate().map(move |(at, t)| (*id, at, t)))
-            .filter(|(_, _, t)| t.outcome.is_none())
+            .flat_map(|(id, state)| state.attempts.iter().enumerate().map(move |(at, a)| (*id, at, a)))
+            .filter(|(_, _, a)| a.outcome.is_none())
             .map(|(id, at, _)| (id, at))
             .collect();
-        match self.pick(10) {
+        match self.random_below(10) {
             0..=3 => {
-                let class = self.pick(5);
-                let time_left = [0.0, 3.0, 90.0, 300.0, 800.0][self.pick(5)];
+                let class = self.random_below(5);
+                let time_left = [0.0, 3.0, 90.0, 300.0, 800.0][self.random_below(5)];
                 let request = RequestId(number);
-                let tenant = TenantId(self.pick(3));
+                let tenant = TenantId(self.random_below(3));
                 let deadline = now + time_left;
-                self.requests
-                    .insert(request, Seen { class, tenant, deadline, tries: Vec::new(), ended: false });
+                self.requests.insert(
+                    request,
+                    RequestState { class, tenant, deadline, attempts: Vec::new(), ended: false },
+                );
                 Event::Arrived { request, class: ClassId(class), tenant, time_left, repeat: false }
             }
-            4..=6 if !out.is_empty() => {
-                let (request, at) = out[self.pick(out.len())];
+            4..=6 if !in_flight.is_empty() => {
+                let (request, at) = in_flight[self.random_below(in_flight.len())];
                 let outcomes = [
                     Outcome::Ok,
                     Outcome::Ok,
@@ -219,12 +261,12 @@
                     Outcome::Cancelled,
                     Outcome::NotSent,
                 ];
-                let outcome = outcomes[self.pick(outcomes.len())];
-                self.end(request, at, outcome)
+                let outcome = outcomes[self.random_below(outcomes.len())];
+                self.finish_attempt(request, at, outcome)
             }
             7 => {
-                let list: Vec<Listing> = (0..self.pick(12)).map(|_| self.listing()).collect();
-                let kind = self.pick(3);
+                let list: Vec<Listing> = (0..self.random_below(12)).map(|_| self.random_listing()).collect();
+                let kind = self.random_below(3);
                 if kind < 2 {
                     self.serving.values_mut().for_each(|serving| *serving = false);
                 }
@@ -239,22 +281,27 @@
             }
             8 if !self.requests.is_empty() => {
                 let open: Vec<RequestId> =
-                    self.requests.iter().filter(|(_, seen)| !seen.ended).map(|(id, _)| *id).collect();
-                let request = if open.is_empty() { RequestId(u64::MAX) } else { open[self.pick(open.len())] };
-                if let Some(seen) = self.requests.get_mut(&request) {
-                    seen.ended = true;
+                    self.requests.iter().filter(|(_, state)| !state.ended).map(|(id, _)| *id).collect();
+                let request =
+                    if open.is_empty() { RequestId(u64::MAX) } else { open[self.random_below(open.len())] };
+                if let Some(state) = self.requests.get_mut(&request) {
+                    state.ended = true;
                 }
                 Event::Abandoned(request)
             }
             _ => match self.probes.pop() {
                 Some(upstream) => {
-                    let answered = self.pick(4) > 0;
-                    Event::Probed { upstream, answered, report: self.report() }
+                    let answered = self.random_below(4) > 0;
+                    Event::Probed { upstream, answered, report: self.random_report() }
                 }
-                // Things nobody asked for.
-                None => match self.pick(3) {
+                // Events that answer no action: an unknown timer, server or request.
+                None => match self.random_below(3) {
                     0 => Event::Woke(number),
-                    1 => Event::Probed { upstream: UpstreamId(999), answered: true, report: self.report() },
+                    1 => Event::Probed {
+                        upstream: UpstreamId(999),
+                        answered: true,
+                        report: self.random_report(),
+                    },
                     _ => Event::Finished(Finished {
                         request: RequestId(number),
                         attempt: AttemptNo(9),
@@ -269,44 +316,45 @@
         }
     }
 
-    fn end(&mut self, request: RequestId, at: usize, outcome: Outcome) -> Event {
-        let report = self.report();
+    /// The attempt at index `at` of a request ends.
+    fn finish_attempt(&mut self, request: RequestId, at: usize, outcome: Outcome) -> Event {
+        let report = self.random_report();
         let now = self.now;
-        let seen = self.requests.get_mut(&request).expect("a known request");
-        seen.ended |= outcome == Outcome::Ok;
-        let closed = seen.ended;
-        let this = &mut seen.tries[at];
-        this.outcome = Some(outcome);
-        let (upstream, latency) = (this.upstream, now - this.sent);
+        let state = self.requests.get_mut(&request).expect("a known request");
+        state.ended |= outcome == Outcome::Ok;
+        let closed = state.ended;
+        let finished = &mut state.attempts[at];
+        finished.outcome = Some(outcome);
+        let (upstream, latency) = (finished.upstream, now - finished.sent);
         let attempt = AttemptNo(at as u32);
         Event::Finished(Finished { request, attempt, upstream, outcome, latency, closed, report })
     }
 }
 
-/// Policies that no check has seen: the module keeps the rules by itself.
-fn policies() -> Vec<Policy> {
+/// Policies that no validation of settings has accepted. The balancer must keep the rules by itself.
+fn unchecked_policies() -> Vec<Policy> {
     let backoff = Backoff { first: Span(5.0), factor: 2.0, most: Span(40.0), jitter: Share(1.0) };
-    let copy = |after| SecondCopy { after, budget: Budget { share: Share(0.5), burst: 5 } };
-    let everything = Failure::ALL.map(|(failure, _)| failure).to_vec();
+    let hedge = |after| SecondCopy { after, budget: Budget { share: Share(0.5), burst: 5 } };
+    let all_failures = Failure::ALL.map(|(failure, _)| failure).to_vec();
     vec![
         Policy::default(),
-        Policy { backoff: Some(backoff), retry_on: Some(everything.clone()), ..Policy::default() },
+        Policy { backoff: Some(backoff), retry_on: Some(all_failures.clone()), ..Policy::default() },
         Policy {
             attempts: Some(3),
             resends: Some(1),
             attempt_timeout: Some(Span(20.0)),
-            second_copy: Some(copy(CopyAfter::Fixed(Span(4.0)))),
+            second_copy: Some(hedge(CopyAfter::Fixed(Span(4.0)))),
             ..Policy::default()
         },
         Policy {
-            second_copy: Some(copy(CopyAfter::Percentile(60.0))),
+            second_copy: Some(hedge(CopyAfter::Percentile(60.0))),
             retry_budget: Some(Budget { share: Share(0.3), burst: 3 }),
             backoff: Some(backoff),
             ..Policy::default()
         },
         Policy {
             overall: Some(Span(60.0)),
-            retry_on: Some(everything),
+            retry_on: Some(all_failures),
             attempts: Some(9),
             ..Policy::default()
         },
@@ -316,20 +364,22 @@
 #[test]
 fn rules_hold_for_any_order_of_events() {
     for seed in 0..60 {
-        play(seed, settings(), false);
+        simulate(seed, settings(), false);
     }
 }
 
-/// Guards against a path past what a fleet told: first sends, retries, copies, keyed repeats, and where all are ejected.
+/// Guards against a path that ignores residency or guidance from other sidecars. The paths are first attempts,
+/// retries, hedged requests, repeats with an idempotency key, and attempts while all servers are ejected.
 #[test]
-fn rules_and_rings_hold_whatever_a_fleet_tells() {
+fn rules_and_residency_hold_for_any_guidance() {
     for seed in 0..120_u64 {
         let mut settings = settings();
         settings.limits.duplicates = seed.is_multiple_of(2);
         for (number, class) in settings.classes.iter_mut().enumerate() {
-            class.policy = policies()[(seed as usize + number) % policies().len()].clone();
+            class.policy =
+                unchecked_policies()[(seed as usize + number) % unchecked_policies().len()].clone();
         }
-        play(seed, settings, true);
+        simulate(seed, settings, true);
     }
 }
 
@@ -339,42 +389,45 @@
         let mut settings = settings();
         settings.limits.duplicates = !seed.is_multiple_of(4);
         for (number, class) in settings.classes.iter_mut().enumerate() {
-            class.policy = policies()[(seed as usize + number) % policies().len()].clone();
+            class.policy =
+                unchecked_policies()[(seed as usize + number) % unchecked_policies().len()].clone();
         }
-        play(seed, settings, false);
+        simulate(seed, settings, false);
     }
 }
 
-fn play(seed: u64, mut settings: Settings, told: bool) {
+/// Plays about 1,500 events and checks the actions after each of them.
+fn simulate(seed: u64, mut settings: Settings, with_guidance: bool) {
     settings.limits.probes = !seed.is_multiple_of(3);
     settings.crossing_fee = [0.0, 0.02, 0.2][seed as usize % 3];
     settings.probe_fee = [0.0, 0.0094, 0.08][seed as usize % 3];
     let start = if seed.is_multiple_of(5) { 0.0 } else { 50_000.0 };
     let mut balancer = Balancer::new(settings.clone(), seed);
-    let mut world = World {
+    let mut simulation = Simulation {
         settings,
         rng: Rand64::new(u128::from(seed) + 1_000),
         now: start,
         requests: BTreeMap::new(),
         serving: BTreeMap::new(),
         probes: Vec::new(),
-        wakes: Vec::new(),
-        told,
-        within: None,
+        timers: Vec::new(),
+        with_guidance,
+        residency: None,
     };
-    // The first ids are not used: their timers would be those of the list.
+    // Request ids start at 2. Ids 0 and 1 would share their timer tokens with timers of the server list.
     for number in 2..1_500 {
-        world.now += [0.0, 0.5, 3.0, 12.0][world.pick(4)];
-        let event = world.event(number);
+        simulation.now += [0.0, 0.5, 3.0, 12.0][simulation.random_below(4)];
+        let event = simulation.next_event(number);
         let mut actions = Vec::new();
-        balancer.handle(world.now, event, &mut actions);
-        world.check(&actions);
-        // Rule 1: whatever is not ended has an attempt out, whose time-out comes by its deadline, or is held
-        // until a timer that comes well before it.
-        for (id, seen) in &world.requests {
-            let out = seen.tries.iter().any(|t| t.outcome.is_none());
-            let held = world.wakes.iter().any(|(at, token)| *token == id.0 << 1 && *at < seen.deadline);
-            assert!(seen.ended || out || held, "forgotten");
+        balancer.handle(simulation.now, event, &mut actions);
+        simulation.check_actions(&actions);
+        // No request is forgotten. Without a final answer it has an attempt in flight, which times out by the
+        // request's deadline, or it waits for a timer that is due before the deadline.
+        for (id, state) in &simulation.requests {
+            let in_flight = state.attempts.iter().any(|a| a.outcome.is_none());
+            let waiting =
+                simulation.timers.iter().any(|(at, token)| *token == id.0 << 1 && *at < state.deadline);
+            assert!(state.ended || in_flight || waiting, "request {id:?} is forgotten");
         }
     }
 }
