--- a/crates/sagemast/tests/any_order.rs
+++ b/crates/sagemast/tests/any_order.rs
@@ -368,8 +368,9 @@
     }
 }
 
-/// Guards against a path that ignores residency or guidance from other sidecars. The paths are first attempts,
-/// retries, hedged requests, repeats with an idempotency key, and attempts while all servers are ejected.
+/// Guards against a path that ignores residency or guidance from other sidecars. The paths are first
+/// attempts, retries, hedged requests, repeats with an idempotency key, and attempts while all servers are
+/// ejected.
 #[test]
 fn rules_and_residency_hold_for_any_guidance() {
     for seed in 0..120_u64 {
--- a/crates/sagemast/tests/as_before.rs
+++ b/crates/sagemast/tests/as_before.rs
@@ -1,4 +1,5 @@
-//! Without a fleet's events the module decides as it did before there were any, to the digit.
+//! Regression tests by digest. Without guidance from other sidecars the balancer decides exactly as it did
+//! before such guidance existed.
 #![cfg(all(target_os = "linux", target_arch = "x86_64"))]
 
 mod common;
@@ -13,7 +14,7 @@
 use sagemast::api::*;
 use serde_json::Value;
 
-/// FNV-1a with 64 bits over all that was done, and over what is known at the end.
+/// 64-bit FNV-1a hash over all actions of a run and over the balancer's state at its end.
 struct Digest(u64);
 
 impl Digest {
@@ -24,9 +25,9 @@
     }
 }
 
-/// A fleet in three zones with drains, failures, crowds, probes and, where asked for, cold starts; the digest of its
-/// whole run.
-fn run(seed: u64, sidecars: u32, servers: u64, cold_starts: bool) -> u64 {
+/// Simulates one sidecar and servers in three zones, with draining servers, failures, bursts of arrivals and
+/// load polls. With `slow_starts` some servers have just started. Returns the digest of the whole run.
+fn digest_of_run(seed: u64, sidecars: u32, servers: u64, slow_starts: bool) -> u64 {
     let mut settings = Settings { sidecars, crossing_fee: 0.02, probe_fee: 0.005, ..settings() };
     settings.sizes_listed = seed.is_multiple_of(2);
     settings.limits.duplicates = true;
@@ -39,80 +40,86 @@
     };
     settings.classes[4].worth = 3.0;
     let mut balancer = Balancer::new(settings, seed);
-    let mut dice = Rand64::new(u128::from(seed) + 77);
+    let mut rng = Rand64::new(u128::from(seed) + 77);
     let mut digest = Digest(0xcbf2_9ce4_8422_2325);
     let mut now = 100.0;
-    let mut due: BTreeSet<(u64, u64)> = BTreeSet::new();
-    let mut later: Vec<Event> = Vec::new();
+    // Times in microseconds, each with an index into `scheduled`.
+    let mut timeline: BTreeSet<(u64, u64)> = BTreeSet::new();
+    let mut scheduled: Vec<Event> = Vec::new();
     let mut events = VecDeque::new();
-    let entry = |id: u64, serves: bool, started| Listing {
+    let listed = |id: u64, serving: bool, started| Listing {
         zone: ZoneId(id % 3),
         kind: KindId(id % 2),
         weight: 1.0 + (id % 4) as f64,
-        lifecycle: if serves { Lifecycle::Serving } else { Lifecycle::Leaving },
+        lifecycle: if serving { Lifecycle::Serving } else { Lifecycle::Leaving },
         started,
         ..listing(id)
     };
-    let list = (0..servers).map(|id| entry(id, true, None)).collect();
+    let list = (0..servers).map(|id| listed(id, true, None)).collect();
     events.push_back(Event::Listed(ListNews::Complete(list)));
     let mut attempts = vec![0_u32; 12_000];
     for number in 0..12_000_u64 {
-        now += if number % 3_000 < 1_500 { 0.4 } else { 3.0 } * dice.rand_float();
+        now += if number % 3_000 < 1_500 { 0.4 } else { 3.0 } * rng.rand_float();
         let request = RequestId(number);
         let (class, tenant) =
-            (ClassId(dice.rand_range(0..5) as usize), TenantId(dice.rand_range(0..2) as usize));
-        let (time_left, repeat) = (150.0 + 400.0 * dice.rand_float(), dice.rand_range(0..9) == 0);
+            (ClassId(rng.rand_range(0..5) as usize), TenantId(rng.rand_range(0..2) as usize));
+        let (time_left, repeat) = (150.0 + 400.0 * rng.rand_float(), rng.rand_range(0..9) == 0);
         events.push_back(Event::Arrived { request, class, tenant, time_left, repeat });
         if number.is_multiple_of(97) {
-            let id = dice.rand_range(0..servers);
-            let (serves, cold) = (dice.rand_range(0..4) > 0, dice.rand_range(0..2) == 0 && cold_starts);
-            events.push_back(Event::Listed(ListNews::Changed(vec![entry(id, serves, cold.then_some(now))])));
+            let id = rng.rand_range(0..servers);
+            let (serving, just_started) =
+                (rng.rand_range(0..4) > 0, rng.rand_range(0..2) == 0 && slow_starts);
+            events.push_back(Event::Listed(ListNews::Changed(vec![listed(
+                id,
+                serving,
+                just_started.then_some(now),
+            )])));
         }
         if number.is_multiple_of(2_500) {
-            let whole = (0..servers).filter(|_| dice.rand_range(0..9) > 0).map(|id| entry(id, true, None));
-            events.push_back(Event::Listed(ListNews::Complete(whole.collect())));
+            let complete = (0..servers).filter(|_| rng.rand_range(0..9) > 0).map(|id| listed(id, true, None));
+            events.push_back(Event::Listed(ListNews::Complete(complete.collect())));
         }
-        while let Some((at, which)) = due.first().copied().filter(|(at, _)| (*at as f64) <= now * 1e3) {
-            due.remove(&(at, which));
-            events.push_back(later[which as usize].clone());
+        while let Some((at, index)) = timeline.first().copied().filter(|(at, _)| (*at as f64) <= now * 1e3) {
+            timeline.remove(&(at, index));
+            events.push_back(scheduled[index as usize].clone());
         }
         while let Some(event) = events.pop_front() {
             let mut actions = Vec::new();
             balancer.handle(now, event, &mut actions);
             for action in actions {
                 digest.add(&serde_json::to_string(&action).unwrap());
-                let (after, event) = match action {
+                let (delay, event) = match action {
                     Action::Send { request, upstream, timeout } => {
                         let attempt = AttemptNo(attempts[request.0 as usize]);
                         attempts[request.0 as usize] += 1;
-                        let bad = upstream.0 % 11 == 3 && dice.rand_range(0..3) > 0;
-                        let took =
-                            10.0 + 60.0 * dice.rand_float() * dice.rand_float() * (1 + upstream.0 % 3) as f64;
-                        let outcome = match dice.rand_range(0..40) {
-                            _ if bad => Outcome::Error,
+                        let faulty = upstream.0 % 11 == 3 && rng.rand_range(0..3) > 0;
+                        let answer_time =
+                            10.0 + 60.0 * rng.rand_float() * rng.rand_float() * (1 + upstream.0 % 3) as f64;
+                        let outcome = match rng.rand_range(0..40) {
+                            _ if faulty => Outcome::Error,
                             0 => Outcome::Full,
                             1 => Outcome::Unreachable,
                             2 => Outcome::Reset,
-                            _ if took > timeout => Outcome::TimedOut,
+                            _ if answer_time > timeout => Outcome::TimedOut,
                             _ => Outcome::Ok,
                         };
-                        let latency = took.min(timeout);
+                        let latency = answer_time.min(timeout);
                         let closed = outcome == Outcome::Ok;
-                        let end =
+                        let finished =
                             Finished { request, attempt, upstream, outcome, latency, closed, report: None };
-                        (latency, Event::Finished(end))
+                        (latency, Event::Finished(finished))
                     }
                     Action::Probe(upstream) => {
                         let report = Report {
-                            in_flight: Some((6.0 * dice.rand_float()).round()),
-                            utilisation: Some(dice.rand_float()),
+                            in_flight: Some((6.0 * rng.rand_float()).round()),
+                            utilisation: Some(rng.rand_float()),
                             ..Report::default()
                         };
                         (
                             4.0,
                             Event::Probed {
                                 upstream,
-                                answered: dice.rand_range(0..9) > 0,
+                                answered: rng.rand_range(0..9) > 0,
                                 report: Some(report),
                             },
                         )
@@ -120,48 +127,51 @@
                     Action::WakeAt { at, token } => (at - now, Event::Woke(token)),
                     _ => continue,
                 };
-                due.insert((((now + after) * 1e3) as u64, later.len() as u64));
-                later.push(event);
+                timeline.insert((((now + delay) * 1e3) as u64, scheduled.len() as u64));
+                scheduled.push(event);
             }
         }
     }
-    digest.add(&as_kept_before(serde_json::to_value(&balancer).unwrap()).to_string());
+    digest.add(&checkpoint_without_guidance(serde_json::to_value(&balancer).unwrap()).to_string());
     digest.0
 }
 
-/// What is kept, as it stood before a fleet could tell anything, in the order of names: the sets of the one ring lay in
-/// the fleet itself, and there was nothing told to keep.
-fn as_kept_before(mut kept: Value) -> Value {
-    let told = kept.as_object_mut().and_then(|kept| kept.remove("guided"));
-    assert!(told.is_some(), "what was told is kept");
-    // The budget of servers in slow start is kept apart from all else.
-    assert!(kept.as_object_mut().and_then(|kept| kept.remove("slow_start")).is_some());
-    let fleet = kept["fleet"].as_object_mut().unwrap();
+/// The checkpoint in the form that it had before guidance existed, with names in alphabetical order. At that
+/// time there was no guidance to keep, and the one set of servers was part of the fleet itself.
+fn checkpoint_without_guidance(mut checkpoint: Value) -> Value {
+    let guidance = checkpoint.as_object_mut().and_then(|checkpoint| checkpoint.remove("guided"));
+    assert!(guidance.is_some(), "the checkpoint holds no guidance");
+    // The budget of servers in slow start is newer, too, and apart from all other state.
+    assert!(checkpoint.as_object_mut().and_then(|checkpoint| checkpoint.remove("slow_start")).is_some());
+    let fleet = checkpoint["fleet"].as_object_mut().unwrap();
     assert_eq!(fleet.remove("rings"), Some(Value::Array(Vec::new())));
-    let Some(Value::Object(ring)) = fleet.remove("anywhere") else { panic!("one ring is kept") };
-    // `bounds` is new: it has none.
-    fleet.extend(ring.into_iter().filter(|(name, _)| name != "bounds"));
-    kept
+    let Some(Value::Object(all_zones)) = fleet.remove("anywhere") else {
+        panic!("the checkpoint holds no set of servers in all zones")
+    };
+    // `bounds` is newer; the set of servers in all zones has none.
+    fleet.extend(all_zones.into_iter().filter(|(name, _)| name != "bounds"));
+    checkpoint
 }
 
-/// Guards against any change of a draw, a decision or what is kept, where a sidecar is by itself: the digests are
-/// those of the code before a fleet could tell it anything, but for its sends to cold servers, which are bounded by
-/// its places there since; with the C library's `exp` and `pow` of Linux.
+/// Guards against any change to random draws, decisions or kept state of a sidecar that gets no guidance. The
+/// digests are those of the code before guidance existed, except for attempts to servers in slow start: since
+/// then a budget bounds them. The digests hold with the `exp` and `pow` of the C library of Linux.
 #[test]
-fn a_sidecar_by_itself_decides_as_before() {
+fn decisions_without_guidance_are_unchanged() {
     let runs = [(1, 4, 12), (2, 100, 60), (3, 6, 33), (4, 1_000, 90)];
-    let digests = runs.map(|(seed, sidecars, servers)| run(seed, sidecars, servers, true));
+    let digests = runs.map(|(seed, sidecars, servers)| digest_of_run(seed, sidecars, servers, true));
     assert_eq!(
         digests,
         [0xe3f0_ab04_d1fb_1b28, 0x7547_8d5e_76cd_c0ec, 0xf097_63b2_7d26_005e, 0x75c3_6a46_b751_0ed7]
     );
 }
 
-/// Guards the same where no server is cold: a rule for cold servers may change none of these digests.
+/// Guards against the same where no server is in slow start. A change to the rules for slow start must not
+/// change these digests.
 #[test]
-fn where_nothing_is_cold_a_sidecar_decides_as_before() {
+fn decisions_without_guidance_or_slow_start_are_unchanged() {
     let runs = [(1, 4, 12), (2, 100, 60), (3, 6, 33), (4, 1_000, 90)];
-    let digests = runs.map(|(seed, sidecars, servers)| run(seed, sidecars, servers, false));
+    let digests = runs.map(|(seed, sidecars, servers)| digest_of_run(seed, sidecars, servers, false));
     assert_eq!(
         digests,
         [0xf657_b762_6324_db77, 0xaebb_125b_e02e_f2e2, 0x0bea_b40f_458d_8bcf, 0x622f_ef6e_05a8_f136]
