--- a/crates/sagemast/benches/pick.rs
+++ b/crates/sagemast/benches/pick.rs
@@ -1,9 +1,10 @@
-//! What a request costs the module as the fleet grows: its arrival, its outcome and a load report. Beside it, in the
-//! same run, `tower`'s two random choices over as many endpoints, of which each answers at once.
+//! Benchmark of the time that the balancer spends on one request, by the number of servers. A request is an
+//! arrival, the end of its attempt and one load report. For comparison, the same run measures `Balance` of
+//! `tower`, which also chooses between two random endpoints; its endpoints answer at once.
 //!
-//! Ratios between sizes are what to read; the figures themselves are those of one machine.
+//! Compare the times between sizes. Absolute times depend on the machine.
 
-// `criterion_group!` makes a public function without a comment.
+// `criterion_group!` generates a public function without a doc comment.
 #![allow(missing_docs)]
 
 use std::convert::Infallible;
@@ -19,8 +20,10 @@
 use tower::discover::ServiceList;
 use tower::load::Constant;
 
+/// The numbers of servers that are measured.
 const SIZES: [u64; 4] = [10, 100, 1_000, 10_000];
 
+/// Settings of one of four sidecars, with one class of requests that are not idempotent.
 fn settings() -> Settings {
     Settings {
         classes: vec![Class {
@@ -41,8 +44,8 @@
     }
 }
 
-/// A module that knows so many servers in three zones, and has heard from all of them.
-fn fleet(size: u64) -> Balancer {
+/// A balancer with this many servers in three zones. Each server has reported its load once.
+fn balancer_with_servers(size: u64) -> Balancer {
     let mut balancer = Balancer::new(settings(), 7);
     let listing = |id| Listing {
         upstream: UpstreamId(id),
@@ -53,13 +56,14 @@
         weight: 3.0,
         started: None,
     };
-    let mut out = Vec::new();
-    balancer.handle(0.0, Event::Listed(ListNews::Complete((0..size).map(listing).collect())), &mut out);
-    (0..size).for_each(|id| balancer.handle(1.0, report(id, id as f64), &mut out));
+    let mut actions = Vec::new();
+    balancer.handle(0.0, Event::Listed(ListNews::Complete((0..size).map(listing).collect())), &mut actions);
+    (0..size).for_each(|id| balancer.handle(1.0, load_report(id, id as f64), &mut actions));
     balancer
 }
 
-fn report(id: u64, served: f64) -> Event {
+/// A server's answer to a load poll. `served` makes each report of a server a new one.
+fn load_report(id: u64, served: f64) -> Event {
     let report = Report {
         in_flight: Some((id % 3) as f64),
         utilisation: Some(0.4),
@@ -69,30 +73,31 @@
     Event::Probed { upstream: UpstreamId(id), answered: true, report: Some(report) }
 }
 
-/// A request comes, is sent, answered, and one server reports.
-fn a_request(balancer: &mut Balancer, number: u64, size: u64, out: &mut Vec<Action>) {
+/// A request arrives, is sent and is answered, and one server reports its load.
+fn handle_request(balancer: &mut Balancer, number: u64, size: u64, actions: &mut Vec<Action>) {
     let (now, request) = (10.0 + number as f64, RequestId(number));
     let arrived =
         Event::Arrived { request, class: ClassId(0), tenant: TenantId(0), time_left: 1_500.0, repeat: false };
-    balancer.handle(now, arrived, out);
-    let sent = out.iter().find_map(|action| match action {
+    balancer.handle(now, arrived, actions);
+    let sent_to = actions.iter().find_map(|action| match action {
         Action::Send { upstream, .. } => Some(*upstream),
         _ => None,
     });
-    out.clear();
-    let Some(upstream) = sent else { return };
+    actions.clear();
+    let Some(upstream) = sent_to else { return };
     let (attempt, latency) = (AttemptNo(0), 0.5);
     let outcome = Outcome::Ok;
-    let end = Finished { request, attempt, upstream, outcome, latency, closed: true, report: None };
-    balancer.handle(now + latency, Event::Finished(end), out);
-    // A step that has no factor in common with the sizes goes through all servers.
-    balancer.handle(now + latency, report(number * 7_919 % size, number as f64), out);
-    out.clear();
+    let finished = Finished { request, attempt, upstream, outcome, latency, closed: true, report: None };
+    balancer.handle(now + latency, Event::Finished(finished), actions);
+    // This step and the sizes have no common factor, so that all servers report in turn.
+    balancer.handle(now + latency, load_report(number * 7_919 % size, number as f64), actions);
+    actions.clear();
 }
 
-struct Answers;
+/// An endpoint that answers at once.
+struct InstantService;
 
-impl Service<()> for Answers {
+impl Service<()> for InstantService {
     type Response = ();
     type Error = Infallible;
     type Future = Ready<Result<(), Infallible>>;
@@ -106,19 +111,20 @@
     }
 }
 
-fn by_fleet(criterion: &mut Criterion) {
+/// Measures the balancer and `tower` with each number of servers.
+fn request_by_server_count(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("a request");
     for size in SIZES {
-        let (mut balancer, mut number, mut out) = (fleet(size), 0, Vec::new());
+        let (mut balancer, mut number, mut actions) = (balancer_with_servers(size), 0, Vec::new());
         group.bench_function(BenchmarkId::new("module", size), |bencher| {
             bencher.iter(|| {
                 number += 1;
-                a_request(black_box(&mut balancer), number, size, &mut out);
+                handle_request(black_box(&mut balancer), number, size, &mut actions);
             })
         });
     }
     for size in SIZES {
-        let endpoints = (0..size).map(|id| Constant::new(Answers, id % 3));
+        let endpoints = (0..size).map(|id| Constant::new(InstantService, id % 3));
         let mut balance = Balance::new(ServiceList::new::<()>(endpoints));
         let mut context = Context::from_waker(Waker::noop());
         group.bench_function(BenchmarkId::new("tower p2c", size), |bencher| {
@@ -132,5 +138,5 @@
     group.finish();
 }
 
-criterion_group!(benches, by_fleet);
+criterion_group!(benches, request_by_server_count);
 criterion_main!(benches);
