--- a/crates/sagemast/tests/as_before.rs
+++ b/crates/sagemast/tests/as_before.rs
@@ -137,7 +137,7 @@
 }
 
 /// The checkpoint in the form that it had before guidance existed, with names in alphabetical order. At that
-/// time there was no guidance to keep, and the one set of servers was part of the fleet itself.
+/// time there was no guidance to keep, and the only set of servers was part of the `fleet` object itself.
 fn checkpoint_without_guidance(mut checkpoint: Value) -> Value {
     let guidance = checkpoint.as_object_mut().and_then(|checkpoint| checkpoint.remove("guided"));
     assert!(guidance.is_some(), "the checkpoint holds no guidance");
