--- a/crates/sagemast/tests/guided.rs
+++ b/crates/sagemast/tests/guided.rs
@@ -7,31 +7,31 @@
 use common::*;
 use sagemast::api::*;
 
-fn guided(stage: &mut Stage, guidance: Guidance) {
+fn apply_guidance(stage: &mut Stage, guidance: Guidance) {
     stage.event(Event::Guided(Box::new(guidance)));
 }
 
-fn ids(of: &[u64]) -> Option<BTreeSet<UpstreamId>> {
-    Some(of.iter().map(|id| UpstreamId(*id)).collect())
+fn upstream_ids(ids: &[u64]) -> Option<BTreeSet<UpstreamId>> {
+    Some(ids.iter().map(|id| UpstreamId(*id)).collect())
 }
 
-fn probes(actions: &[Action]) -> Vec<u64> {
-    let probe = |action: &Action| match action {
+fn polled_servers(actions: &[Action]) -> Vec<u64> {
+    let polled_server = |action: &Action| match action {
         Action::Probe(id) => Some(id.0),
         _ => None,
     };
-    actions.iter().filter_map(probe).collect()
+    actions.iter().filter_map(polled_server).collect()
 }
 
-fn refusals(actions: &[Action]) -> Vec<(Reason, Millis)> {
-    let refusal = |action: &Action| match action {
+fn rejections(actions: &[Action]) -> Vec<(Reason, Millis)> {
+    let rejection = |action: &Action| match action {
         Action::Refuse { reason, retry_after, .. } => Some((*reason, *retry_after)),
         _ => None,
     };
-    actions.iter().filter_map(refusal).collect()
+    actions.iter().filter_map(rejection).collect()
 }
 
-fn within(zones: &[&[u64]], classes: &[Option<usize>]) -> Event {
+fn residency_event(zones: &[&[u64]], classes: &[Option<usize>]) -> Event {
     let ring = |zones: &&[u64]| zones.iter().map(|zone| ZoneId(*zone)).collect();
     Event::Within(Residency {
         rings: zones.iter().map(ring).collect(),
@@ -41,23 +41,23 @@
 }
 
 /// Twelve servers, a zone for every three.
-fn zones() -> Vec<Listing> {
+fn servers_in_four_zones() -> Vec<Listing> {
     (0..12).map(|id| Listing { zone: ZoneId(id / 3), cell: CellId(id / 3), ..listing(id) }).collect()
 }
 
 #[test]
-fn what_the_fleet_sheds_is_refused_before_any_send_and_asked_back_within_its_slice() {
-    let mut stage = Stage::new(settings(), zones());
+fn shed_request_is_rejected_with_retry_after_in_the_assigned_range() {
+    let mut stage = Stage::new(settings(), servers_in_four_zones());
     let admit = vec![0.25, 1.0, 1.0, 1.0, 1.0];
-    guided(&mut stage, Guidance { admit, come_back: Some([0.5, 0.75]), ..Guidance::default() });
+    apply_guidance(&mut stage, Guidance { admit, come_back: Some([0.5, 0.75]), ..Guidance::default() });
     let mut shed = 0;
     for _ in 0..2_000 {
         stage.now += 1.0;
         let (request, actions) = stage.arrive(REPEATABLE);
-        if let [(reason, after)] = refusals(&actions)[..] {
+        if let [(reason, retry_after)] = rejections(&actions)[..] {
             assert_eq!((reason, sent_to(&actions)), (Reason::Shed, None));
             // Three tenths of an aim of 200 ms, and of that the slice.
-            assert!((30.0..=45.0).contains(&after), "{after}");
+            assert!((30.0..=45.0).contains(&retry_after), "{retry_after}");
             shed += 1;
         } else {
             let upstream = sent_to(&actions).expect("there is room");
@@ -68,48 +68,52 @@
         stage.finish(request, 0, upstream, Outcome::Ok, 0.5);
     }
     assert!((1_400..1_600).contains(&shed), "{shed} of 2000, where three quarters should be");
-    guided(&mut stage, Guidance::default());
+    apply_guidance(&mut stage, Guidance::default());
     assert!(sent_to(&stage.arrive(REPEATABLE).1).is_some());
 }
 
 #[test]
-fn only_duties_are_asked_for_their_load_and_all_of_them_in_time() {
-    let mut stage = Stage::new(settings(), zones());
-    guided(&mut stage, Guidance { probes: ids(&[2, 5, 11]), ..Guidance::default() });
-    let mut asked = Vec::new();
+fn only_assigned_servers_are_polled_and_each_of_them_in_time() {
+    let mut stage = Stage::new(settings(), servers_in_four_zones());
+    apply_guidance(&mut stage, Guidance { probes: upstream_ids(&[2, 5, 11]), ..Guidance::default() });
+    let mut polled = Vec::new();
     for _ in 0..100 {
         stage.now += 10.0;
-        for id in probes(&stage.arrive(REPEATABLE).1) {
-            asked.push(id);
+        for id in polled_servers(&stage.arrive(REPEATABLE).1) {
+            polled.push(id);
             stage.report(id, 1.0, 0.3);
         }
     }
-    let each: Vec<usize> = [2, 5, 11].map(|id| asked.iter().filter(|a| **a == id).count()).to_vec();
-    assert_eq!(each.iter().sum::<usize>(), asked.len(), "{asked:?}");
-    assert!(each.iter().all(|count| (3..=4).contains(count)), "once in 300 ms over a second: {each:?}");
+    let counts: Vec<usize> =
+        [2, 5, 11].map(|id| polled.iter().filter(|polled_id| **polled_id == id).count()).to_vec();
+    assert_eq!(counts.iter().sum::<usize>(), polled.len(), "{polled:?}");
+    assert!(counts.iter().all(|count| (3..=4).contains(count)), "once in 300 ms over a second: {counts:?}");
 }
 
 #[test]
-fn further_sends_go_by_the_fleets_budget() {
-    let mut stage = Stage::new(settings(), zones());
+fn cluster_retry_budget_replaces_the_configured_one() {
+    let mut stage = Stage::new(settings(), servers_in_four_zones());
     let retried = |stage: &mut Stage| {
         let (request, actions) = stage.arrive(REPEATABLE);
         let upstream = sent_to(&actions).expect("there is room");
         sent_to(&stage.finish(request, 0, upstream, Outcome::Full, 0.5)).is_some()
     };
     assert!(retried(&mut stage));
-    guided(&mut stage, Guidance { retries: Some(Allowance { share: 0.5, burst: 1 }), ..Guidance::default() });
-    let spent: Vec<bool> = (0..4)
+    apply_guidance(
+        &mut stage,
+        Guidance { retries: Some(Allowance { share: 0.5, burst: 1 }), ..Guidance::default() },
+    );
+    let retries: Vec<bool> = (0..4)
         .map(|_| {
             stage.now += 2_000.0;
             retried(&mut stage)
         })
         .collect();
-    assert_eq!(spent, [true, false, true, false], "one saved up, and half of one for each first send");
+    assert_eq!(retries, [true, false, true, false], "one saved up, and half of one for each first send");
 }
 
 #[test]
-fn an_ejected_server_is_tried_by_whom_the_fleet_chose_and_back_for_all() {
+fn ejected_server_is_probed_by_the_chosen_sidecar_and_returns_for_all() {
     let mut stage = Stage::new(settings(), (0..4).map(listing).collect());
     let eject = |stage: &mut Stage| {
         for _ in 0..200 {
@@ -117,15 +121,17 @@
             let (request, actions) = stage.arrive(ONCE);
             let Some(upstream) = sent_to(&actions) else { continue };
             let outcome = if upstream.0 == 3 { Outcome::Reset } else { Outcome::Ok };
-            let log = stage.finish(request, 0, upstream, outcome, 1.0);
-            if log.iter().any(|action| matches!(action, Action::Log { text, .. } if text.contains("ejected")))
+            let actions = stage.finish(request, 0, upstream, outcome, 1.0);
+            if actions
+                .iter()
+                .any(|action| matches!(action, Action::Log { text, .. } if text.contains("ejected")))
             {
                 return;
             }
         }
         panic!("it is ejected");
     };
-    let meets = |stage: &mut Stage| {
+    let receives_requests = |stage: &mut Stage| {
         (0..60).any(|_| {
             stage.now += 5.0;
             let (request, actions) = stage.arrive(ONCE);
@@ -136,18 +142,18 @@
     };
     eject(&mut stage);
     stage.now += 5_000.0;
-    guided(&mut stage, Guidance { trials: ids(&[]), ..Guidance::default() });
-    assert!(!meets(&mut stage), "its trial is another's");
+    apply_guidance(&mut stage, Guidance { trials: upstream_ids(&[]), ..Guidance::default() });
+    assert!(!receives_requests(&mut stage), "its trial is another's");
     stage.event(Event::Tried { upstream: UpstreamId(3), well: false });
-    guided(&mut stage, Guidance { trials: ids(&[3]), ..Guidance::default() });
-    assert!(!meets(&mut stage), "left alone after another's trial failed");
-    guided(&mut stage, Guidance { trials: ids(&[]), ..Guidance::default() });
+    apply_guidance(&mut stage, Guidance { trials: upstream_ids(&[3]), ..Guidance::default() });
+    assert!(!receives_requests(&mut stage), "left alone after another's trial failed");
+    apply_guidance(&mut stage, Guidance { trials: upstream_ids(&[]), ..Guidance::default() });
     stage.event(Event::Tried { upstream: UpstreamId(3), well: true });
-    assert!(meets(&mut stage), "back after another's trial");
+    assert!(receives_requests(&mut stage), "back after another's trial");
 }
 
 #[test]
-fn a_cold_server_gets_what_was_leased_and_no_more() {
+fn server_in_slow_start_receives_only_leased_requests() {
     let cold = |id| Listing { started: Some(1_000.0), ..listing(id) };
     let mut stage = Stage::new(settings(), vec![listing(1), cold(2), cold(3)]);
     let sent = |stage: &mut Stage| {
@@ -164,23 +170,23 @@
         let cold = [(UpstreamId(2), ColdLease { requests, until })].into_iter().collect();
         Guidance { cold: Some(cold), ..Guidance::default() }
     };
-    guided(&mut stage, lease(7, 2_000.0));
+    apply_guidance(&mut stage, lease(7, 2_000.0));
     assert_eq!(sent(&mut stage)[2..], [7, 0], "what is leased, and nothing of whom the fleet did not name");
-    guided(&mut stage, lease(7, 2_000.0));
+    apply_guidance(&mut stage, lease(7, 2_000.0));
     assert_eq!(sent(&mut stage)[2..], [0, 0], "the same lease told again");
     let text = serde_json::to_string(&stage.balancer).expect("a checkpoint");
-    let kept: sagemast::Balancer = serde_json::from_str(&text).expect("what it wrote");
-    stage.balancer = kept.resume(settings()).expect("the same settings");
+    let restored: sagemast::Balancer = serde_json::from_str(&text).expect("what it wrote");
+    stage.balancer = restored.resume(settings()).expect("the same settings");
     assert_eq!(sent(&mut stage)[2..], [0, 0], "what was sent of it, in a checkpoint");
-    guided(&mut stage, lease(5, 2_100.0));
+    apply_guidance(&mut stage, lease(5, 2_100.0));
     assert_eq!(sent(&mut stage)[2..], [5, 0]);
-    guided(&mut stage, lease(9, 2_200.0));
+    apply_guidance(&mut stage, lease(9, 2_200.0));
     stage.now = 2_200.0;
     assert_eq!(sent(&mut stage)[2..], [0, 0], "it is over");
 }
 
 #[test]
-fn a_peers_report_counts_by_its_age_and_never_against_a_newer_one() {
+fn peer_report_counts_by_its_age_and_never_replaces_a_newer_one() {
     let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
     stage.settle(&[1, 2], 1.0, 0.5);
     for _ in 0..40 {
@@ -188,7 +194,7 @@
         stage.report(1, 60.0, 0.5);
         stage.report(2, 1.0, 0.5);
     }
-    let told = |stage: &mut Stage, age, number| {
+    let peer_report = |stage: &mut Stage, age, number| {
         let report = Report {
             in_flight: Some(0.0),
             utilisation: Some(0.1),
@@ -197,33 +203,33 @@
         };
         stage.event(Event::Reported { upstream: UpstreamId(1), report, age });
     };
-    let sent = |stage: &mut Stage| {
+    let send_one = |stage: &mut Stage| {
         let (request, actions) = stage.arrive(REPEATABLE);
         let upstream = sent_to(&actions).expect("one has room");
         stage.finish(request, 0, upstream, Outcome::Ok, 1.0);
         upstream.0
     };
-    assert!((0..20).all(|_| sent(&mut stage) == 2), "the first is full");
-    (0..90).for_each(|number| told(&mut stage, 2_500.0, number));
-    assert!((0..20).all(|_| sent(&mut stage) == 2), "what was told is older than what is known");
+    assert!((0..20).all(|_| send_one(&mut stage) == 2), "the first is full");
+    (0..90).for_each(|number| peer_report(&mut stage, 2_500.0, number));
+    assert!((0..20).all(|_| send_one(&mut stage) == 2), "what was told is older than what is known");
     (0..90).for_each(|number| {
         stage.now += 100.0;
         stage.report(2, 10.0, 0.5);
-        told(&mut stage, 20.0, number);
+        peer_report(&mut stage, 20.0, number);
     });
-    assert!((0..20).all(|_| sent(&mut stage) == 1), "it has become idle by peers' reports alone");
+    assert!((0..20).all(|_| send_one(&mut stage) == 1), "it has become idle by peers' reports alone");
 }
 
 #[test]
-fn nobody_in_its_ring_is_a_refusal_of_its_own_kind_and_what_may_have_run_fails() {
-    let mut stage = Stage::new(settings(), zones());
+fn ring_without_servers_has_its_own_rejection_reason_and_fails_requests_that_may_have_run() {
+    let mut stage = Stage::new(settings(), servers_in_four_zones());
     let (request, actions) = stage.arrive(ONCE);
     let first = sent_to(&actions).expect("there is room");
-    let (keyed, actions) = stage.arrive(BY_ZONE);
+    let (keyed_request, actions) = stage.arrive(BY_ZONE);
     let second = sent_to(&actions).expect("there is room");
-    stage.event(within(&[&[], &[2]], &[Some(0), Some(1), Some(0), Some(0), None]));
+    stage.event(residency_event(&[&[], &[2]], &[Some(0), Some(1), Some(0), Some(0), None]));
     for _ in 0..50 {
-        assert_eq!(refusals(&stage.arrive(REPEATABLE).1)[0].0, Reason::Residency);
+        assert_eq!(rejections(&stage.arrive(REPEATABLE).1)[0].0, Reason::Residency);
         for (class, zones) in [(BY_CELL, 2..3), (BY_ALL, 0..4)] {
             let (request, actions) = stage.arrive(class);
             let upstream = sent_to(&actions).expect("there is room");
@@ -235,17 +241,20 @@
     // The rule tightened while these were out.
     assert!(failed(&stage.finish(request, 0, first, Outcome::Reset, 1.0)));
     stage.now += 1.0;
-    assert!(failed(&stage.finish(keyed, 0, second, Outcome::Error, 1.0)), "its zone is out of bounds now");
+    assert!(
+        failed(&stage.finish(keyed_request, 0, second, Outcome::Error, 1.0)),
+        "its zone is out of bounds now"
+    );
     let (class, tenant) = (ClassId(4), TenantId(0));
-    let new = Residency { rings: Vec::new(), classes: vec![None; 4], tenants: Vec::new() };
-    assert!(!new.allows(class, tenant, ZoneId(2)), "a class that its rules were not told of yet");
+    let outdated = Residency { rings: Vec::new(), classes: vec![None; 4], tenants: Vec::new() };
+    assert!(!outdated.allows(class, tenant, ZoneId(2)), "a class that its rules were not told of yet");
 }
 
 #[test]
-fn a_server_that_moves_to_another_zone_leaves_the_rings_of_the_old_one() {
-    let mut stage = Stage::new(settings(), zones());
-    stage.event(within(&[&[1]], &[Some(0); 5]));
-    let meets = |stage: &mut Stage, id| {
+fn server_that_moves_to_another_zone_leaves_the_rings_of_the_old_zone() {
+    let mut stage = Stage::new(settings(), servers_in_four_zones());
+    stage.event(residency_event(&[&[1]], &[Some(0); 5]));
+    let receives_requests = |stage: &mut Stage, id| {
         (0..100).any(|_| {
             let (request, actions) = stage.arrive(REPEATABLE);
             let upstream = sent_to(&actions).expect("there is room");
@@ -253,19 +262,19 @@
             upstream.0 == id
         })
     };
-    assert!(meets(&mut stage, 4));
-    let to = |zone, id| Listing { zone: ZoneId(zone), ..listing(id) };
-    stage.event(Event::Listed(ListNews::Changed(vec![to(2, 4), to(1, 9)])));
-    assert!(!meets(&mut stage, 4));
-    assert!(meets(&mut stage, 9));
+    assert!(receives_requests(&mut stage, 4));
+    let in_zone = |zone, id| Listing { zone: ZoneId(zone), ..listing(id) };
+    stage.event(Event::Listed(ListNews::Changed(vec![in_zone(2, 4), in_zone(1, 9)])));
+    assert!(!receives_requests(&mut stage, 4));
+    assert!(receives_requests(&mut stage, 9));
 }
 
 /// Guards against a service that may go to few zones and finds few of their servers in the sidecar's subset.
 #[test]
-fn a_ring_has_a_subset_of_its_own() {
+fn each_ring_has_a_subset_of_its_own() {
     let servers = (0..400).map(|id| Listing { zone: ZoneId(id / 40), ..listing(id) }).collect();
     let mut stage = Stage::new(Settings { sidecars: 1_000, ..settings() }, servers);
-    stage.event(within(&[&[3]], &[Some(0), None, None, None, None]));
+    stage.event(residency_event(&[&[3]], &[Some(0), None, None, None, None]));
     let mut met = |class| {
         let mut met = BTreeSet::new();
         for _ in 0..400 {
@@ -276,7 +285,7 @@
         }
         met
     };
-    let (ruled, free) = (met(REPEATABLE), met(ONCE));
-    assert!(ruled.iter().all(|id| id / 40 == 3));
-    assert_eq!((ruled.len(), free.len()), (16, 16));
+    let (restricted, unrestricted) = (met(REPEATABLE), met(ONCE));
+    assert!(restricted.iter().all(|id| id / 40 == 3));
+    assert_eq!((restricted.len(), unrestricted.len()), (16, 16));
 }
--- a/crates/sagemast/tests/health.rs
+++ b/crates/sagemast/tests/health.rs
@@ -6,85 +6,85 @@
 use sagemast::api::*;
 
 /// Answers every send at once: server 1 fails as `bad` says, the others serve in 30 ms.
-fn play(stage: &mut Stage, rounds: usize, bad: Outcome, all_bad: bool) -> usize {
-    let mut to_bad = 0;
+fn run_requests(stage: &mut Stage, rounds: usize, failure: Outcome, all_fail: bool) -> usize {
+    let mut attempts_to_first = 0;
     for _ in 0..rounds {
         stage.now += 10.0;
         let (request, mut actions) = stage.arrive(REPEATABLE);
         let mut attempt = 0;
-        while let Some(to) = sent_to(&actions) {
-            let is_bad = all_bad || to.0 == 1;
-            to_bad += usize::from(to.0 == 1);
-            let (outcome, took) = if is_bad { (bad, 2.0) } else { (Outcome::Ok, 30.0) };
-            actions = stage.finish(request, attempt, to, outcome, took);
+        while let Some(upstream) = sent_to(&actions) {
+            let fails = all_fail || upstream.0 == 1;
+            attempts_to_first += usize::from(upstream.0 == 1);
+            let (outcome, latency) = if fails { (failure, 2.0) } else { (Outcome::Ok, 30.0) };
+            actions = stage.finish(request, attempt, upstream, outcome, latency);
             attempt += 1;
         }
     }
-    to_bad
+    attempts_to_first
 }
 
 /// Guards against fast failers, which look idle and would win every draw they are in.
 #[test]
-fn a_fast_failer_is_ejected() {
-    for bad in [Outcome::Error, Outcome::Unreachable, Outcome::Reset] {
+fn fast_failing_server_is_ejected() {
+    for failure in [Outcome::Error, Outcome::Unreachable, Outcome::Reset] {
         let mut stage = Stage::new(settings(), (1..=5).map(listing).collect());
-        play(&mut stage, 50, bad, false);
-        let later = play(&mut stage, 500, bad, false);
-        assert!(later < 10, "{bad:?}: {later} of 500 still went to the failing server");
+        run_requests(&mut stage, 50, failure, false);
+        let later_attempts = run_requests(&mut stage, 500, failure, false);
+        assert!(later_attempts < 10, "{failure:?}: {later_attempts} of 500 still went to the failing server");
     }
 }
 
 #[test]
-fn an_ejected_server_comes_back_by_trials() {
+fn ejected_server_returns_after_successful_probes() {
     let mut stage = Stage::new(settings(), (1..=5).map(listing).collect());
-    play(&mut stage, 100, Outcome::Error, false);
-    let back = play(&mut stage, 2_000, Outcome::Ok, false);
-    assert!(back > 100, "{back} of 2,000 after it had recovered");
+    run_requests(&mut stage, 100, Outcome::Error, false);
+    let attempts_after_recovery = run_requests(&mut stage, 2_000, Outcome::Ok, false);
+    assert!(attempts_after_recovery > 100, "{attempts_after_recovery} of 2,000 after it had recovered");
 }
 
 /// Guards against flapping: the answer to a send from before the ejection once ended it in the same millisecond.
 #[test]
-fn answers_to_earlier_sends_do_not_end_an_ejection() {
+fn answers_to_earlier_attempts_do_not_end_an_ejection() {
     let mut stage = Stage::new(settings(), (1..=5).map(listing).collect());
     stage.settle(&[1, 2, 3, 4, 5], 1.0, 0.1);
-    let mut out = Vec::new();
+    let mut requests_to_first = Vec::new();
     for _ in 0..60 {
         let (request, actions) = stage.arrive(REPEATABLE);
-        out.extend(sent_to(&actions).filter(|to| to.0 == 1).map(|_| request));
+        requests_to_first.extend(sent_to(&actions).filter(|upstream| upstream.0 == 1).map(|_| request));
     }
-    assert!(out.len() >= 8, "{} sends to the first", out.len());
+    assert!(requests_to_first.len() >= 8, "{} sends to the first", requests_to_first.len());
     let mut logs = Vec::new();
-    for (number, request) in out.into_iter().enumerate() {
+    for (index, request) in requests_to_first.into_iter().enumerate() {
         stage.now += 1.0;
-        let outcome = if number < 5 { Outcome::Reset } else { Outcome::Ok };
+        let outcome = if index < 5 { Outcome::Reset } else { Outcome::Ok };
         logs.extend(stage.finish(request, 0, UpstreamId(1), outcome, 20.0));
     }
-    let told =
+    let logged =
         |text: &str| logs.iter().any(|a| matches!(a, Action::Log { text: line, .. } if line.contains(text)));
-    assert!(told("ejected"), "five resets in a row");
-    assert!(!told("is back"), "nothing was tried since");
+    assert!(logged("ejected"), "five resets in a row");
+    assert!(!logged("is back"), "nothing was tried since");
 }
 
 /// Guards against ejecting everyone when the network or we ourselves are at fault.
 #[test]
-fn not_all_are_ejected() {
+fn ejection_leaves_a_majority_of_servers() {
     let mut stage = Stage::new(settings(), (1..=5).map(listing).collect());
-    play(&mut stage, 200, Outcome::Error, true);
+    run_requests(&mut stage, 200, Outcome::Error, true);
     let mut used = std::collections::BTreeSet::new();
     for _ in 0..40 {
         let (request, actions) = stage.arrive(ONCE);
-        let to = sent_to(&actions).expect("someone is asked");
-        used.insert(to);
-        stage.finish(request, 0, to, Outcome::Ok, 30.0);
+        let upstream = sent_to(&actions).expect("someone is asked");
+        used.insert(upstream);
+        stage.finish(request, 0, upstream, Outcome::Ok, 30.0);
     }
     assert!(used.len() >= 3, "{used:?}");
 }
 
 /// Guards against hung servers: nothing comes back from them, not even a failure, until the time-outs.
 #[test]
-fn unanswered_sends_count_before_they_time_out() {
+fn unanswered_attempts_count_before_they_time_out() {
     let mut stage = Stage::new(settings(), (1..=4).map(listing).collect());
-    let mut hung = 0;
+    let mut sends_to_hung = 0;
     for round in 0..200 {
         stage.now += 5.0;
         let (request, actions) = stage.arrive(REPEATABLE);
@@ -94,19 +94,19 @@
                 stage.report(upstream.0, 0.0, 0.0);
             }
         }
-        let Some(to) = sent_to(&actions) else { continue };
-        if to.0 == 1 {
-            hung += usize::from(round >= 40);
+        let Some(upstream) = sent_to(&actions) else { continue };
+        if upstream.0 == 1 {
+            sends_to_hung += usize::from(round >= 40);
         } else {
-            stage.finish(request, 0, to, Outcome::Ok, 20.0);
+            stage.finish(request, 0, upstream, Outcome::Ok, 20.0);
         }
     }
-    assert!(hung <= 5, "{hung} of 160 went to a server that answers nothing");
+    assert!(sends_to_hung <= 5, "{sends_to_hung} of 160 went to a server that answers nothing");
 }
 
 /// "Full" tells of load, which the counts show already; ejecting for it would take capacity away under overload.
 #[test]
-fn full_is_not_a_failure() {
+fn full_outcome_does_not_eject() {
     let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
     for _ in 0..60 {
         stage.now += 50.0;
@@ -115,9 +115,9 @@
         for attempt in 0.. {
             let ejected = |a: &Action| matches!(a, Action::Log { text, .. } if text.contains("ejected for"));
             assert!(!actions.iter().any(ejected), "ejected for being full");
-            let Some(to) = sent_to(&actions) else { break };
-            let outcome = if to.0 == 1 { Outcome::Full } else { Outcome::Ok };
-            actions = stage.finish(request, attempt, to, outcome, 1.0);
+            let Some(upstream) = sent_to(&actions) else { break };
+            let outcome = if upstream.0 == 1 { Outcome::Full } else { Outcome::Ok };
+            actions = stage.finish(request, attempt, upstream, outcome, 1.0);
         }
     }
     stage.report(1, 0.0, 0.0);
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn work_is_refused_when_no_server_can_answer_in_time() {
+fn request_is_rejected_when_no_server_can_answer_in_time() {
     let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
     stage.settle(&[1, 2], 1.0, 0.5);
     stage.settle(&[1, 2], 60.0, 1.0);
@@ -136,7 +136,7 @@
 
 /// Guards against a lock-out: a service time learnt in a jam must not refuse everything on idle servers for good.
 #[test]
-fn an_idle_server_has_room_whatever_was_learnt() {
+fn idle_server_accepts_requests_whatever_was_measured() {
     let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
     for _ in 0..300 {
         stage.now += 400.0;
@@ -144,8 +144,8 @@
         for id in [1, 2] {
             stage.report(id, 1.0, 0.25);
         }
-        if let Some(to) = sent_to(&actions) {
-            stage.finish(request, 0, to, Outcome::Ok, 190.0);
+        if let Some(upstream) = sent_to(&actions) {
+            stage.finish(request, 0, upstream, Outcome::Ok, 190.0);
         }
     }
     for id in [1, 2] {
@@ -157,13 +157,13 @@
 /// Guards against shedding at random: under overload what earns least for its work goes first, and then what
 /// tenants send beyond their part.
 #[test]
-fn the_least_worth_is_refused_first() {
+fn lowest_value_requests_are_rejected_first() {
     let mut settings = settings();
     settings.classes[REPEATABLE.0].worth = 0.2;
     settings.classes[BY_ALL.0].worth = 4.0;
     settings.tenants = vec![Tenant { quota_per_s: 50.0 }, Tenant { quota_per_s: 50.0 }];
     settings.over_quota_worth = 0.05;
-    let mut refusals = std::collections::BTreeMap::new();
+    let mut rejections = std::collections::BTreeMap::new();
     let ids: Vec<u64> = (0..40).collect();
     let mut stage = Stage::new(settings, ids.iter().copied().map(listing).collect());
     stage.settle(&ids, 2.0, 0.5);
@@ -175,51 +175,51 @@
         let request = RequestId(number);
         let tenant = TenantId(tenant as usize);
         let actions = stage.event(Event::Arrived { request, class, tenant, time_left: 500.0, repeat: false });
-        let count: &mut (u32, u32) = refusals.entry((class, tenant)).or_default();
+        let count: &mut (u32, u32) = rejections.entry((class, tenant)).or_default();
         count.1 += 1;
         count.0 += u32::from(refused(&actions));
-        if let Some(to) = sent_to(&actions) {
+        if let Some(upstream) = sent_to(&actions) {
             stage.event(Event::Abandoned(request));
-            stage.finish(request, 0, to, Outcome::Cancelled, 1.0);
+            stage.finish(request, 0, upstream, Outcome::Cancelled, 1.0);
         }
     }
     let rate = |class, tenant| {
-        let (refused, all): (u32, u32) = refusals[&(class, TenantId(tenant))];
+        let (refused, all): (u32, u32) = rejections[&(class, TenantId(tenant))];
         f64::from(refused) / f64::from(all)
     };
-    assert!(rate(REPEATABLE, 0) > rate(BY_ALL, 0) + 0.1, "by worth: {refusals:?}");
-    assert!(rate(BY_ALL, 0) > rate(BY_ALL, 1) + 0.1, "by share: {refusals:?}");
+    assert!(rate(REPEATABLE, 0) > rate(BY_ALL, 0) + 0.1, "by worth: {rejections:?}");
+    assert!(rate(BY_ALL, 0) > rate(BY_ALL, 1) + 0.1, "by share: {rejections:?}");
 }
 
 /// Guards against feeding a jam: when all servers have become slow, one that a sidecar has not heard of for a
 /// while must be taken for slow, too, and not for quick.
 #[test]
-fn a_slowed_fleet_is_not_forgotten_server_by_server() {
+fn fleet_wide_slowness_applies_to_servers_without_recent_answers() {
     let mut stage = Stage::new(settings(), (1..=20).map(listing).collect());
     let ids: Vec<u64> = (1..=20).collect();
     stage.settle(&ids, 3.0, 0.75);
-    let play = |stage: &mut Stage, rounds: usize, took: Millis| {
-        let mut refusals = 0;
+    let run_requests = |stage: &mut Stage, rounds: usize, latency: Millis| {
+        let mut rejections = 0;
         for _ in 0..rounds {
             stage.now += 100.0;
             ids.iter().for_each(|id| stage.report(*id, 7.0, 0.95));
             let (request, actions) = stage.arrive(REPEATABLE);
-            refusals += usize::from(refused(&actions));
-            if let Some(to) = sent_to(&actions) {
-                stage.finish(request, 0, to, Outcome::Ok, took);
+            rejections += usize::from(refused(&actions));
+            if let Some(upstream) = sent_to(&actions) {
+                stage.finish(request, 0, upstream, Outcome::Ok, latency);
             }
         }
-        refusals
+        rejections
     };
-    assert_eq!(play(&mut stage, 200, 40.0), 0);
-    play(&mut stage, 100, 400.0);
-    let refusals = play(&mut stage, 100, 400.0);
-    assert!(refusals > 60, "{refusals} of 100 refused, though every answer is late");
+    assert_eq!(run_requests(&mut stage, 200, 40.0), 0);
+    run_requests(&mut stage, 100, 400.0);
+    let rejections = run_requests(&mut stage, 100, 400.0);
+    assert!(rejections > 60, "{rejections} of 100 refused, though every answer is late");
 }
 
 /// Guards against crowding that no report shows: while much of what is accepted comes late, less is accepted.
 #[test]
-fn room_shrinks_while_answers_are_late() {
+fn fewer_requests_are_accepted_while_answers_are_late() {
     let mut settings = settings();
     settings.classes[REPEATABLE.0].aim = 400.0;
     let ids: Vec<u64> = (1..=6).collect();
@@ -231,63 +231,64 @@
             stage.now += 50.0;
             ids.iter().for_each(|id| stage.report(*id, 3.0 + (round % 8) as f64, 0.95));
             let (request, actions) = stage.arrive(REPEATABLE);
-            let Some(to) = sent_to(&actions) else { continue };
+            let Some(upstream) = sent_to(&actions) else { continue };
             accepted += u32::from(round >= 300);
             // Every second request is heavy: the usual service time does not change.
             let heavy = late && round % 2 == 0;
             stage.now += if heavy { 450.0 } else { 0.0 };
-            stage.finish(request, 0, to, Outcome::Ok, if heavy { 450.0 } else { 60.0 });
+            stage.finish(request, 0, upstream, Outcome::Ok, if heavy { 450.0 } else { 60.0 });
         }
         accepted
     };
-    let (usual, crowded) = (accepted(false), accepted(true));
-    assert!(crowded * 10 < usual * 9, "{crowded} of {usual}");
+    let (usual, with_late_answers) = (accepted(false), accepted(true));
+    assert!(with_late_answers * 10 < usual * 9, "{with_late_answers} of {usual}");
 }
 
 /// Guards against advice that is kept too well: a client that stays away for longer than its aim comes back for nothing.
 #[test]
-fn a_refused_client_is_asked_back_within_its_aim() {
+fn retry_after_fits_within_the_latency_objective() {
     let mut stage = Stage::new(settings(), vec![]);
-    let waits: Vec<Millis> = (0..200)
+    let delays: Vec<Millis> = (0..200)
         .flat_map(|_| stage.arrive(REPEATABLE).1)
         .filter_map(|action| match action {
             Action::Refuse { retry_after, .. } => Some(retry_after),
             _ => None,
         })
         .collect();
-    assert_eq!(waits.len(), 200);
-    assert!(waits.iter().all(|wait| *wait < 100.0), "half of the aim of 200 ms at the very most");
-    let spread = waits.iter().copied().fold(0.0, f64::max) - waits.iter().copied().fold(1e9, f64::min);
+    assert_eq!(delays.len(), 200);
+    assert!(delays.iter().all(|delay| *delay < 100.0), "half of the aim of 200 ms at the very most");
+    let spread = delays.iter().copied().fold(0.0, f64::max) - delays.iter().copied().fold(1e9, f64::min);
     assert!(spread > 30.0, "spread over {spread} ms");
 }
 
 /// Guards against a fleet that is being enlarged: many cold servers, slow as they must be, once made service times
 /// look three times their best, and the module refused work that the warm ones had room for.
 #[test]
-fn cold_servers_do_not_make_the_others_look_crowded() {
+fn servers_in_slow_start_do_not_make_others_look_overloaded() {
     let mut settings = settings();
     settings.safety.warm_up = 100_000.0;
     let mut stage = Stage::new(settings, vec![listing(1), listing(2)]);
     stage.settle(&[1, 2], 0.8, 0.1);
-    let (mut cold, mut started) = (0, f64::INFINITY);
+    let (mut sends_in_slow_start, mut started) = (0, f64::INFINITY);
     for round in 0..120 {
         if round == 40 {
             started = stage.now;
-            let entry = Listing { started: Some(stage.now), ..listing(2) };
-            stage.event(Event::Listed(ListNews::Changed(vec![entry])));
+            let restarted = Listing { started: Some(stage.now), ..listing(2) };
+            stage.event(Event::Listed(ListNews::Changed(vec![restarted])));
         }
         stage.now += 100.0;
         stage.report(1, if round < 40 { 0.8 } else { 7.5 }, 0.05);
         stage.report(2, 0.5, 0.05);
         let (request, actions) = stage.arrive(REPEATABLE);
-        let to = sent_to(&actions).expect("there is room");
-        let slow = to == UpstreamId(2) && round >= 40;
-        cold += usize::from(slow);
-        let latency = if slow { 20.0 / (0.2 + 0.8 * (stage.now - started) / 100_000.0) } else { 20.0 };
+        let upstream = sent_to(&actions).expect("there is room");
+        let in_slow_start = upstream == UpstreamId(2) && round >= 40;
+        sends_in_slow_start += usize::from(in_slow_start);
+        let latency =
+            if in_slow_start { 20.0 / (0.2 + 0.8 * (stage.now - started) / 100_000.0) } else { 20.0 };
         stage.now += latency;
-        stage.finish(request, 0, to, Outcome::Ok, latency);
+        stage.finish(request, 0, upstream, Outcome::Ok, latency);
     }
-    assert!(cold > 3, "only {cold} went to the cold server");
+    assert!(sends_in_slow_start > 3, "only {sends_in_slow_start} went to the cold server");
     stage.report(1, 6.0, 0.05);
     stage.report(2, 20.0, 0.05);
     assert_eq!(sent_to(&stage.arrive(REPEATABLE).1), Some(UpstreamId(1)));
@@ -296,22 +297,23 @@
 /// Guards against starving a class: with room by worth for service time alone, the class whose requests take longer
 /// would bear all refusals for as long as servers are busy.
 #[test]
-fn refusals_are_spread_over_the_classes() {
+fn rejections_are_spread_over_the_classes() {
     let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
     stage.settle(&[1, 2], 0.8, 0.1);
     let mut served = [0, 0];
     for round in 0..600 {
         let busy = round >= 200;
-        let (number, class, service) = if round % 2 == 0 { (0, REPEATABLE, 40.0) } else { (1, BY_ALL, 64.0) };
+        let (index, class, service_time) =
+            if round % 2 == 0 { (0, REPEATABLE, 40.0) } else { (1, BY_ALL, 64.0) };
         stage.now += 50.0;
         // Their size stays known, from the first reports: the utilisation is too low to tell anything.
         [1, 2].into_iter().for_each(|id| stage.report(id, if busy { 9.2 } else { 0.8 }, 0.05));
         let (request, actions) = stage.arrive(class);
-        let Some(to) = sent_to(&actions) else { continue };
-        served[number] += usize::from(busy);
-        let latency = if busy { 2.0 * service } else { service };
+        let Some(upstream) = sent_to(&actions) else { continue };
+        served[index] += usize::from(busy);
+        let latency = if busy { 2.0 * service_time } else { service_time };
         stage.now += latency;
-        stage.finish(request, 0, to, Outcome::Ok, latency);
+        stage.finish(request, 0, upstream, Outcome::Ok, latency);
     }
     assert!(served[1] > 5 && served[1] * 3 > served[0], "served by class: {served:?}");
 }
@@ -319,7 +321,7 @@
 /// Guards against a lock-out: on servers that take few at a time the shrunken idle limit once came to less than one
 /// request, so that nothing was sent, nothing was learnt, and everything was refused for good.
 #[test]
-fn an_empty_server_has_room_however_crowded_the_fleet_looks() {
+fn empty_server_accepts_requests_in_an_overloaded_fleet() {
     let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
     stage.settle(&[1, 2], 1.0, 0.5);
     for round in 0..200 {
@@ -327,15 +329,15 @@
         stage.now += 50.0;
         [1, 2].into_iter().for_each(|id| stage.report(id, 0.0, 0.0));
         let (request, actions) = stage.arrive(REPEATABLE);
-        let to = sent_to(&actions).expect("empty servers have room");
+        let upstream = sent_to(&actions).expect("empty servers have room");
         stage.now += latency;
-        stage.finish(request, 0, to, Outcome::Ok, latency);
+        stage.finish(request, 0, upstream, Outcome::Ok, latency);
     }
 }
 
 /// Guards against a hung server that looks idle: an old unanswered send counts against it before any time-out.
 #[test]
-fn silence_counts_as_slowness() {
+fn unanswered_attempt_counts_as_slowness() {
     let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
     stage.settle(&[1, 2], 1.0, 0.25);
     for _ in 0..60 {
@@ -357,7 +359,7 @@
 
 /// Guards against losing sight: servers that have no room are never drawn, and would stay full for us for good.
 #[test]
-fn servers_without_room_are_still_probed() {
+fn servers_without_capacity_are_still_polled() {
     let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
     stage.settle(&[1, 2], 1.0, 0.5);
     stage.settle(&[1, 2], 60.0, 1.0);
@@ -369,15 +371,15 @@
 
 /// Guards against branding: a server that was slow once is tried again after a while.
 #[test]
-fn slowness_is_forgotten() {
+fn slowness_estimate_expires() {
     let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
     stage.settle(&[1, 2], 1.0, 0.25);
     for _ in 0..200 {
         let (request, actions) = stage.arrive(REPEATABLE);
-        let to = sent_to(&actions).expect("there is room");
-        let latency = if to.0 == 1 { 100.0 } else { 20.0 };
+        let upstream = sent_to(&actions).expect("there is room");
+        let latency = if upstream.0 == 1 { 100.0 } else { 20.0 };
         stage.now += latency;
-        stage.finish(request, 0, to, Outcome::Ok, latency);
+        stage.finish(request, 0, upstream, Outcome::Ok, latency);
     }
     stage.now += 20_000.0;
     stage.report(1, 1.0, 0.05);
@@ -387,46 +389,55 @@
 
 /// How many requests each of two servers takes until both refuse, none of them answered. One may be refused by
 /// chance, ten in a row are not.
-fn held_by_each(stage: &mut Stage) -> [usize; 2] {
-    let (mut sends, mut refusals) = (Vec::new(), 0);
-    while refusals < 10 {
+fn accepted_by_each_server(stage: &mut Stage) -> [usize; 2] {
+    let (mut sends, mut rejections) = (Vec::new(), 0);
+    while rejections < 10 {
         let (request, actions) = stage.arrive(REPEATABLE);
         match sent_to(&actions) {
-            Some(to) => sends.push((request, to)),
-            None => refusals += 1,
+            Some(upstream) => sends.push((request, upstream)),
+            None => rejections += 1,
         }
     }
-    let held = [1, 2].map(|id| sends.iter().filter(|(_, to)| to.0 == id).count());
-    for (request, to) in sends {
+    let accepted = [1, 2].map(|id| sends.iter().filter(|(_, upstream)| upstream.0 == id).count());
+    for (request, upstream) in sends {
         stage.event(Event::Abandoned(request));
-        stage.finish(request, 0, to, Outcome::Cancelled, 1.0);
+        stage.finish(request, 0, upstream, Outcome::Cancelled, 1.0);
     }
-    held
+    accepted
 }
 
 /// Guards against refusing everywhere for what one server says, and for good: one that turns requests away is sent
 /// fewer, the others as many as before, and after a while it is tried in full again.
 #[test]
-fn a_server_that_turns_requests_away_is_sent_fewer_for_a_while() {
+fn server_that_answers_full_receives_fewer_requests_temporarily() {
     let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
     stage.settle(&[1, 2], 1.0, 0.25);
-    let before = held_by_each(&mut stage);
+    let before = accepted_by_each_server(&mut stage);
     assert!(before[0] >= 3 && before[0] == before[1], "{before:?}");
     for _ in 0..6 {
         let sends: Vec<_> = (0..6).map(|_| stage.arrive(ONCE)).collect();
         stage.now += 20.0;
         for (request, actions) in sends {
-            let Some(to) = sent_to(&actions) else { continue };
+            let Some(upstream) = sent_to(&actions) else { continue };
             stage.event(Event::Abandoned(request));
-            stage.finish(request, 0, to, if to.0 == 1 { Outcome::Full } else { Outcome::Ok }, 20.0);
+            stage.finish(
+                request,
+                0,
+                upstream,
+                if upstream.0 == 1 { Outcome::Full } else { Outcome::Ok },
+                20.0,
+            );
         }
     }
-    let turned = held_by_each(&mut stage);
-    assert!(turned[0] + 1 < before[0] && turned[1] + 1 >= before[1], "{turned:?} after {before:?}");
+    let while_full = accepted_by_each_server(&mut stage);
+    assert!(
+        while_full[0] + 1 < before[0] && while_full[1] + 1 >= before[1],
+        "{while_full:?} after {before:?}"
+    );
     for _ in 0..10 {
         stage.now += 1_000.0;
         [1, 2].into_iter().for_each(|id| stage.report(id, 1.0, 0.25));
     }
-    let later = held_by_each(&mut stage);
+    let later = accepted_by_each_server(&mut stage);
     assert!(later[0] >= before[0] - 1 && later[0] == later[1], "after ten seconds {later:?}");
 }
--- a/crates/sagemast/tests/rules.rs
+++ b/crates/sagemast/tests/rules.rs
@@ -5,13 +5,13 @@
 use common::*;
 use sagemast::api::*;
 
-fn cells() -> Vec<Listing> {
+fn servers_in_three_cells() -> Vec<Listing> {
     // Cells 0 and 1 in zone 0, cell 2 in zone 1.
     [1, 2, 3, 11, 12, 13, 21, 22, 23].map(|id| Listing { zone: ZoneId(id / 20), ..listing(id) }).to_vec()
 }
 
 #[test]
-fn no_server_is_answered_at_once() {
+fn request_is_rejected_immediately_without_servers() {
     let mut stage = Stage::new(settings(), vec![]);
     for class in 0..5 {
         let (_, actions) = stage.arrive(ClassId(class));
@@ -20,74 +20,74 @@
 }
 
 #[test]
-fn one_server_is_used() {
+fn single_server_receives_the_request() {
     let mut stage = Stage::new(settings(), vec![listing(1)]);
     let (_, actions) = stage.arrive(REPEATABLE);
     assert_eq!(sent_to(&actions), Some(UpstreamId(1)));
 }
 
 #[test]
-fn unknown_class_is_refused() {
-    let mut stage = Stage::new(settings(), cells());
+fn unknown_class_is_rejected() {
+    let mut stage = Stage::new(settings(), servers_in_three_cells());
     let (_, actions) = stage.arrive(ClassId(99));
     assert!(refused(&actions));
 }
 
 #[test]
-fn nothing_goes_out_for_an_ended_request() {
-    let mut stage = Stage::new(settings(), cells());
+fn abandoned_request_is_not_retried() {
+    let mut stage = Stage::new(settings(), servers_in_three_cells());
     let (request, actions) = stage.arrive(REPEATABLE);
-    let to = sent_to(&actions).unwrap();
+    let upstream = sent_to(&actions).unwrap();
     let actions = stage.event(Event::Abandoned(request));
     assert_eq!(actions, vec![Action::Cancel { request, attempt: AttemptNo(0) }]);
-    let late = stage.finish(request, 0, to, Outcome::Error, 20.0);
-    assert_eq!(sent_to(&late), None);
-    assert!(!refused(&late) && !failed(&late), "the client has left");
+    let actions_after_end = stage.finish(request, 0, upstream, Outcome::Error, 20.0);
+    assert_eq!(sent_to(&actions_after_end), None);
+    assert!(!refused(&actions_after_end) && !failed(&actions_after_end), "the client has left");
 }
 
 #[test]
-fn a_time_out_at_the_deadline_fails_a_request_that_may_run_only_once() {
-    let mut stage = Stage::new(settings(), cells());
+fn timeout_at_the_deadline_fails_a_request_that_is_not_idempotent() {
+    let mut stage = Stage::new(settings(), servers_in_three_cells());
     let (request, actions) = stage.arrive(ONCE);
-    let to = sent_to(&actions).unwrap();
+    let upstream = sent_to(&actions).unwrap();
     stage.now += 500.0;
-    let actions = stage.finish(request, 0, to, Outcome::TimedOut, 500.0);
+    let actions = stage.finish(request, 0, upstream, Outcome::TimedOut, 500.0);
     assert!(failed(&actions) && !refused(&actions));
 }
 
 #[test]
-fn once_goes_on_only_after_proof_that_it_never_ran() {
+fn request_that_is_not_idempotent_is_retried_only_if_it_never_ran() {
     for outcome in [Outcome::Error, Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled] {
-        let mut stage = Stage::new(settings(), cells());
+        let mut stage = Stage::new(settings(), servers_in_three_cells());
         let (request, actions) = stage.arrive(ONCE);
-        let to = sent_to(&actions).unwrap();
+        let upstream = sent_to(&actions).unwrap();
         stage.now += 10.0;
-        let actions = stage.finish(request, 0, to, outcome, 10.0);
+        let actions = stage.finish(request, 0, upstream, outcome, 10.0);
         assert_eq!(sent_to(&actions), None, "{outcome:?}");
         assert!(failed(&actions), "{outcome:?} may have run: a refusal would promise too much");
     }
     for outcome in [Outcome::Full, Outcome::Unreachable] {
-        let mut stage = Stage::new(settings(), cells());
+        let mut stage = Stage::new(settings(), servers_in_three_cells());
         let (request, actions) = stage.arrive(ONCE);
-        let to = sent_to(&actions).unwrap();
+        let upstream = sent_to(&actions).unwrap();
         stage.now += 10.0;
-        let actions = stage.finish(request, 0, to, outcome, 10.0);
+        let actions = stage.finish(request, 0, upstream, outcome, 10.0);
         assert!(sent_to(&actions).is_some(), "{outcome:?} proves that it never ran");
     }
 }
 
 #[test]
-fn a_keyed_request_stays_in_its_group() {
+fn request_with_idempotency_key_is_retried_within_its_scope() {
     for seed in 0..40 {
-        for (class, reach) in [(BY_CELL, 10), (BY_ZONE, 20)] {
-            let mut stage = Stage::new(settings(), cells());
+        for (class, ids_per_group) in [(BY_CELL, 10), (BY_ZONE, 20)] {
+            let mut stage = Stage::new(settings(), servers_in_three_cells());
             (0..seed).for_each(|_| drop(stage.arrive(REPEATABLE)));
             let (request, actions) = stage.arrive(class);
             let Some(first) = sent_to(&actions) else { continue };
             stage.now += 20.0;
             let actions = stage.finish(request, 0, first, Outcome::Error, 20.0);
             if let Some(next) = sent_to(&actions) {
-                assert_eq!(next.0 / reach, first.0 / reach);
+                assert_eq!(next.0 / ids_per_group, first.0 / ids_per_group);
             }
             assert!(!refused(&actions), "no refusal where a repeat could land outside the group");
         }
@@ -95,27 +95,27 @@
 }
 
 #[test]
-fn a_keyed_request_is_not_resent_after_its_window() {
+fn request_with_idempotency_key_is_not_retried_after_its_window() {
     // The window counts from the first send that may have run, not from the latest.
     let mut settings = settings();
     settings.classes[BY_CELL.0].aim = 5_000.0;
-    let mut stage = Stage::new(settings, cells());
+    let mut stage = Stage::new(settings, servers_in_three_cells());
     stage.event(arrival(9_000, BY_CELL, 5_000.0));
     (0..2).for_each(|_| drop(stage.event(Event::Woke(9_000 >> 1))));
     let request = RequestId(9_000);
     let mut attempt = 0;
-    let mut at = None;
+    let mut retried_on = None;
     for id in [1, 2, 3, 11, 12, 13, 21, 22, 23] {
         // Find where it went: only the true server's outcome is taken.
         stage.now = 1_200.0;
         let actions = stage.finish(request, 0, UpstreamId(id), Outcome::Error, 200.0);
         if let Some(next) = sent_to(&actions) {
             attempt = 1;
-            at = Some(next);
+            retried_on = Some(next);
             break;
         }
     }
-    let next = at.expect("within the window it is resent");
+    let next = retried_on.expect("within the window it is resent");
     stage.now = 1_310.0;
     let actions = stage.finish(request, attempt, next, Outcome::Error, 110.0);
     assert_eq!(sent_to(&actions), None);
@@ -127,10 +127,10 @@
 }
 
 #[test]
-fn attempts_have_a_maximum() {
+fn number_of_attempts_is_limited() {
     let mut settings = settings();
     settings.limits.max_attempts = 2;
-    let mut stage = Stage::new(settings, cells());
+    let mut stage = Stage::new(settings, servers_in_three_cells());
     let (request, actions) = stage.arrive(REPEATABLE);
     let first = sent_to(&actions).unwrap();
     let actions = stage.finish(request, 0, first, Outcome::Full, 1.0);
@@ -141,16 +141,16 @@
 }
 
 #[test]
-fn draining_and_missing_servers_get_nothing_new() {
+fn draining_and_unlisted_servers_receive_no_new_requests() {
     let mut stage = Stage::new(settings(), vec![listing(1), listing(2), listing(3)]);
-    let drain = Listing { lifecycle: Lifecycle::Leaving, ..listing(1) };
-    stage.event(Event::Listed(ListNews::Changed(vec![drain])));
+    let draining = Listing { lifecycle: Lifecycle::Leaving, ..listing(1) };
+    stage.event(Event::Listed(ListNews::Changed(vec![draining])));
     for _ in 0..30 {
         let (request, actions) = stage.arrive(REPEATABLE);
-        let to = sent_to(&actions).unwrap();
-        assert_ne!(to, UpstreamId(1));
+        let upstream = sent_to(&actions).unwrap();
+        assert_ne!(upstream, UpstreamId(1));
         stage.now += 5.0;
-        stage.finish(request, 0, to, Outcome::Ok, 5.0);
+        stage.finish(request, 0, upstream, Outcome::Ok, 5.0);
     }
     stage.event(Event::Listed(ListNews::Complete(vec![listing(3)])));
     for _ in 0..30 {
@@ -164,45 +164,53 @@
 /// All sidecars together, none knowing of the others, stay inside a cold server's allowance; and yet it gets some
 /// work. A budget divided by a thousand sidecars once came to less than one request for each, so nobody ever sent.
 #[test]
-fn a_cold_server_gets_its_share_and_no_more_from_all_sidecars_together() {
+fn all_sidecars_together_stay_within_the_slow_start_limit() {
     const SERVERS: u64 = 10;
-    const WORK: Millis = 30.0;
-    for (sidecars, cold_from) in [(5, 10), (200, 10), (1_000, 10), (200, 1)] {
+    const SERVICE_TIME: Millis = 30.0;
+    for (sidecars, first_in_slow_start) in [(5, 10), (200, 10), (1_000, 10), (200, 1)] {
         let mut settings = settings();
         settings.sidecars = sidecars;
         settings.limits.probes = false;
         let start = 1_000.0;
         let servers: Vec<Listing> = (1..=SERVERS)
-            .map(|id| Listing { started: (id >= cold_from).then_some(start), ..listing(id) })
+            .map(|id| Listing { started: (id >= first_in_slow_start).then_some(start), ..listing(id) })
             .collect();
-        let (fall, multiple) = (settings.safety.fall, settings.safety.fall_multiple);
+        let (window, multiple) = (settings.safety.fall, settings.safety.fall_multiple);
         // Each server does one request at a time; together the sidecars ask for nine tenths of what all can do.
-        let (span, per_ms) = (3.0 * fall, 0.9 * SERVERS as f64 / WORK);
+        let (duration, arrivals_per_ms) = (3.0 * window, 0.9 * SERVERS as f64 / SERVICE_TIME);
         let mut sends: Vec<(UpstreamId, Millis)> = Vec::new();
         for sidecar in 0..sidecars {
             let mut stage = Stage::seeded(settings.clone(), servers.clone(), u64::from(sidecar));
-            let gap = f64::from(sidecars) / per_ms;
-            stage.now = start + gap * f64::from(sidecar) / f64::from(sidecars);
-            while stage.now < start + span {
+            let interval = f64::from(sidecars) / arrivals_per_ms;
+            stage.now = start + interval * f64::from(sidecar) / f64::from(sidecars);
+            while stage.now < start + duration {
                 let (request, actions) = stage.arrive(ONCE);
-                if let Some(to) = sent_to(&actions) {
-                    sends.push((to, stage.now));
-                    stage.finish(request, 0, to, Outcome::Ok, WORK);
+                if let Some(upstream) = sent_to(&actions) {
+                    sends.push((upstream, stage.now));
+                    stage.finish(request, 0, upstream, Outcome::Ok, SERVICE_TIME);
                 }
-                stage.now += gap;
+                stage.now += interval;
             }
         }
-        for id in cold_from..=SERVERS {
-            let mut at: Vec<Millis> = sends.iter().filter(|s| s.0.0 == id).map(|s| s.1).collect();
-            at.sort_by(f64::total_cmp);
+        for id in first_in_slow_start..=SERVERS {
+            let mut send_times: Vec<Millis> =
+                sends.iter().filter(|send| send.0.0 == id).map(|send| send.1).collect();
+            send_times.sort_by(f64::total_cmp);
             // Beside idle warm ones it need not win any; where all are cold, all must.
-            assert!(cold_from > 1 || !at.is_empty(), "{sidecars} sidecars: server {id} never gets any work");
-            for from in &at {
-                let sent = at.iter().filter(|t| (*from..from + fall).contains(*t)).count() as f64 * WORK;
-                let warmth = 0.2 + 0.8 * (from - start) / settings.safety.warm_up;
+            assert!(
+                first_in_slow_start > 1 || !send_times.is_empty(),
+                "{sidecars} sidecars: server {id} never gets any work"
+            );
+            for window_start in &send_times {
+                let work_sent = send_times
+                    .iter()
+                    .filter(|time| (*window_start..window_start + window).contains(*time))
+                    .count() as f64
+                    * SERVICE_TIME;
+                let capacity_share = 0.2 + 0.8 * (window_start - start) / settings.safety.warm_up;
                 assert!(
-                    sent <= multiple * warmth * fall,
-                    "{sidecars} sidecars: {sent} ms of work in a window"
+                    work_sent <= multiple * capacity_share * window,
+                    "{sidecars} sidecars: {work_sent} ms of work in a window"
                 );
             }
         }
@@ -213,90 +221,102 @@
 /// to nothing, so that a release in which most servers are new served least just when they were wanted. What all
 /// sidecars together send them stays inside the allowance, with three times as many tries as all servers can do.
 #[test]
-fn cold_servers_are_used_while_warm_ones_are_full() {
+fn servers_in_slow_start_are_used_while_warm_servers_are_full() {
     const SERVERS: u64 = 10;
-    const WORK: Millis = 30.0;
+    const SERVICE_TIME: Millis = 30.0;
     const SIDECARS: u32 = 50;
     let settings = Settings { sidecars: SIDECARS, sizes_listed: true, ..settings() };
     let start = 100_000.0;
-    let cold = |id: u64| id > 4;
-    let (new, old): (Vec<Listing>, Vec<Listing>) = (1..=SERVERS)
-        .map(|id| Listing { started: cold(id).then_some(start), ..listing(id) })
+    let in_slow_start = |id: u64| id > 4;
+    let (starting, warm): (Vec<Listing>, Vec<Listing>) = (1..=SERVERS)
+        .map(|id| Listing { started: in_slow_start(id).then_some(start), ..listing(id) })
         .partition(|server| server.started.is_some());
-    let (fall, multiple) = (settings.safety.fall, settings.safety.fall_multiple);
-    let (span, per_ms) = (4.0 * fall, 3.0 * SERVERS as f64 / WORK);
+    let (window, multiple) = (settings.safety.fall, settings.safety.fall_multiple);
+    let (duration, arrivals_per_ms) = (4.0 * window, 3.0 * SERVERS as f64 / SERVICE_TIME);
     let mut sends: Vec<(UpstreamId, Millis)> = Vec::new();
     for sidecar in 0..SIDECARS {
-        let mut stage = Stage::seeded(settings.clone(), old.clone(), u64::from(sidecar));
-        let gap = f64::from(SIDECARS) / per_ms;
+        let mut stage = Stage::seeded(settings.clone(), warm.clone(), u64::from(sidecar));
+        let interval = f64::from(SIDECARS) / arrivals_per_ms;
         // The old ones are full for a while before.
         for round in 0..200 {
-            stage.now = start - gap * f64::from(200 - round);
+            stage.now = start - interval * f64::from(200 - round);
             stage.report(1 + (round % 4) as u64, 5.0, 1.0);
             stage.arrive(ONCE);
         }
-        stage.event(Event::Listed(ListNews::Changed(new.clone())));
-        stage.now = start + gap * f64::from(sidecar) / f64::from(SIDECARS);
+        stage.event(Event::Listed(ListNews::Changed(starting.clone())));
+        stage.now = start + interval * f64::from(sidecar) / f64::from(SIDECARS);
         let mut number = 0;
-        while stage.now < start + span {
+        while stage.now < start + duration {
             // What is heard of warm servers is full, of cold ones idle, one of them at a time.
             number += 1;
             let id = 1 + number % SERVERS;
-            let (held, used) = if cold(id) { (0.0, 0.1) } else { (5.0, 1.0) };
-            stage.report(id, held, used);
+            let (in_flight, utilisation) = if in_slow_start(id) { (0.0, 0.1) } else { (5.0, 1.0) };
+            stage.report(id, in_flight, utilisation);
             let (request, actions) = stage.arrive(ONCE);
-            if let Some(to) = sent_to(&actions) {
-                sends.push((to, stage.now));
-                stage.finish(request, 0, to, Outcome::Ok, WORK);
+            if let Some(upstream) = sent_to(&actions) {
+                sends.push((upstream, stage.now));
+                stage.finish(request, 0, upstream, Outcome::Ok, SERVICE_TIME);
             }
-            stage.now += gap;
+            stage.now += interval;
         }
     }
-    for id in (1..=SERVERS).filter(|id| cold(*id)) {
-        let at: Vec<Millis> = sends.iter().filter(|s| s.0.0 == id).map(|s| s.1).collect();
-        let capacity = |from: Millis| (0.2 + 0.8 * (from - start) / settings.safety.warm_up) * fall;
-        for from in &at {
-            let sent = at.iter().filter(|t| (*from..from + fall).contains(*t)).count() as f64 * WORK;
-            assert!(sent <= multiple * capacity(*from), "server {id}: {sent} ms of work in a window");
+    for id in (1..=SERVERS).filter(|id| in_slow_start(*id)) {
+        let send_times: Vec<Millis> = sends.iter().filter(|send| send.0.0 == id).map(|send| send.1).collect();
+        let capacity =
+            |window_start: Millis| (0.2 + 0.8 * (window_start - start) / settings.safety.warm_up) * window;
+        for window_start in &send_times {
+            let work_sent = send_times
+                .iter()
+                .filter(|time| (*window_start..window_start + window).contains(*time))
+                .count() as f64
+                * SERVICE_TIME;
+            assert!(
+                work_sent <= multiple * capacity(*window_start),
+                "server {id}: {work_sent} ms of work in a window"
+            );
         }
-        let last = at.iter().filter(|t| **t >= start + span - fall).count() as f64 * WORK;
-        let could = capacity(start + span - fall);
-        assert!(last >= 0.3 * could, "server {id}: {last} ms of work where it could do {could}");
+        let last_work = send_times.iter().filter(|time| **time >= start + duration - window).count() as f64
+            * SERVICE_TIME;
+        let last_capacity = capacity(start + duration - window);
+        assert!(
+            last_work >= 0.3 * last_capacity,
+            "server {id}: {last_work} ms of work where it could do {last_capacity}"
+        );
     }
 }
 
 /// Guards against new servers that stand idle because nobody has heard of them: in a large fleet they were taken to hold
 /// what warm ones hold, and by their slowness as crowded, at each sidecar until a probe of its own came back.
 #[test]
-fn a_cold_server_that_was_not_heard_of_is_sent_its_share() {
+fn server_in_slow_start_without_reports_receives_its_share() {
     const SIDECARS: u32 = 100;
     let mut settings = Settings { sidecars: SIDECARS, sizes_listed: true, ..settings() };
     settings.classes.iter_mut().for_each(|class| class.aim = 450.0);
     let start = 100_000.0;
-    let sized = |id: u64| Listing { weight: 3.0, ..listing(id) };
-    let old: Vec<Listing> = (1..=4).map(sized).collect();
-    let new: Vec<Listing> = (5..=10).map(|id| Listing { started: Some(start), ..sized(id) }).collect();
-    let mut to_cold = 0;
+    let large = |id: u64| Listing { weight: 3.0, ..listing(id) };
+    let warm: Vec<Listing> = (1..=4).map(large).collect();
+    let starting: Vec<Listing> = (5..=10).map(|id| Listing { started: Some(start), ..large(id) }).collect();
+    let mut sends_in_slow_start = 0;
     for sidecar in 0..SIDECARS {
-        let mut stage = Stage::seeded(settings.clone(), old.clone(), u64::from(sidecar));
+        let mut stage = Stage::seeded(settings.clone(), warm.clone(), u64::from(sidecar));
         stage.now = start - 2_000.0;
         // Warm servers have all cores in use and a request waiting; nothing is ever heard of the cold ones.
         stage.settle(&[1, 2, 3, 4], 4.0, 0.95);
         stage.now = start + 5_000.0;
-        stage.event(Event::Listed(ListNews::Changed(new.clone())));
+        stage.event(Event::Listed(ListNews::Changed(starting.clone())));
         for _ in 0..10 {
             let (request, actions) = stage.arrive(ONCE);
-            if let Some(to) = sent_to(&actions) {
-                to_cold += u32::from(to.0 > 4);
-                stage.finish(request, 0, to, Outcome::Ok, 150.0);
+            if let Some(upstream) = sent_to(&actions) {
+                sends_in_slow_start += u32::from(upstream.0 > 4);
+                stage.finish(request, 0, upstream, Outcome::Ok, 150.0);
             }
         }
     }
-    assert!(to_cold > 100, "{to_cold} of 1000 to the six cold ones");
+    assert!(sends_in_slow_start > 100, "{sends_in_slow_start} of 1000 to the six cold ones");
 }
 
 #[test]
-fn a_restart_under_the_same_id_is_cold_again() {
+fn restart_under_the_same_id_begins_a_new_slow_start() {
     let mut stage = Stage::new(settings(), vec![listing(1)]);
     let accepted = |stage: &mut Stage| {
         let mut accepted = 0;
@@ -309,47 +329,47 @@
         accepted
     };
     assert_eq!(accepted(&mut stage), 50, "it is warm");
-    let again = Listing { started: Some(stage.now), ..listing(1) };
-    stage.event(Event::Listed(ListNews::Changed(vec![again])));
-    let cold = accepted(&mut stage);
-    assert!((1..25).contains(&cold), "{cold} of 50 once it is cold again");
+    let restarted = Listing { started: Some(stage.now), ..listing(1) };
+    stage.event(Event::Listed(ListNews::Changed(vec![restarted])));
+    let after_restart = accepted(&mut stage);
+    assert!((1..25).contains(&after_restart), "{after_restart} of 50 once it is cold again");
 }
 
 /// Guards against refusing what warm servers have room for: a pair of cold ones that may not be sent more yet once
 /// ended the request, and where a sidecar's own zone had just restarted, most of them.
 #[test]
-fn what_a_cold_pair_may_not_take_goes_to_a_warm_server() {
+fn request_over_the_slow_start_limit_goes_to_a_warm_server() {
     let mut stage = Stage::new(settings(), (1..=3).map(listing).collect());
-    let again = [1, 2].map(|id| Listing { started: Some(stage.now), ..listing(id) });
-    stage.event(Event::Listed(ListNews::Changed(again.to_vec())));
-    let mut to_cold = 0;
+    let restarted = [1, 2].map(|id| Listing { started: Some(stage.now), ..listing(id) });
+    stage.event(Event::Listed(ListNews::Changed(restarted.to_vec())));
+    let mut sends_in_slow_start = 0;
     for _ in 0..60 {
         stage.now += 50.0;
         let (request, actions) = stage.arrive(ONCE);
-        let to = sent_to(&actions).expect("the warm one is idle");
-        to_cold += u32::from(to.0 < 3);
-        stage.finish(request, 0, to, Outcome::Ok, 20.0);
+        let upstream = sent_to(&actions).expect("the warm one is idle");
+        sends_in_slow_start += u32::from(upstream.0 < 3);
+        stage.finish(request, 0, upstream, Outcome::Ok, 20.0);
     }
-    assert!((1..30).contains(&to_cold), "{to_cold} of 60 to the cold ones");
+    assert!((1..30).contains(&sends_in_slow_start), "{sends_in_slow_start} of 60 to the cold ones");
 }
 
 /// Guards against the same where two pairs are all that is drawn: a full near one and one in vain for a cold server left
 /// a request refused beside an idle warm server in another zone.
 #[test]
-fn a_pair_drawn_in_vain_for_a_cold_server_is_not_the_last() {
+fn pair_rejected_by_the_slow_start_limit_is_followed_by_another_draw() {
     let mut settings = Settings { sidecars: 300, crossing_fee: 0.02, sizes_listed: true, ..settings() };
     settings.safety.warm_up = 100_000.0;
     let mut stage = Stage::new(settings, vec![listing(1)]);
-    let far = |id| Listing { zone: ZoneId(1), ..listing(id) };
-    let cold = |id| Listing { started: Some(stage.now), ..far(id) };
-    stage.event(Event::Listed(ListNews::Changed(vec![cold(2), cold(3), far(4)])));
+    let other_zone = |id| Listing { zone: ZoneId(1), ..listing(id) };
+    let in_slow_start = |id| Listing { started: Some(stage.now), ..other_zone(id) };
+    stage.event(Event::Listed(ListNews::Changed(vec![in_slow_start(2), in_slow_start(3), other_zone(4)])));
     for _ in 0..100 {
         stage.now += 20.0;
-        for (id, held) in [(1, 6.0), (2, 0.0), (3, 0.0), (4, 0.0)] {
-            stage.report(id, held, 0.9);
+        for (id, in_flight) in [(1, 6.0), (2, 0.0), (3, 0.0), (4, 0.0)] {
+            stage.report(id, in_flight, 0.9);
         }
         let (request, actions) = stage.arrive(ONCE);
-        let to = sent_to(&actions).expect("the warm one of the other zone is idle");
-        stage.finish(request, 0, to, Outcome::Ok, 10.0);
+        let upstream = sent_to(&actions).expect("the warm one of the other zone is idle");
+        stage.finish(request, 0, upstream, Outcome::Ok, 10.0);
     }
 }
