--- a/crates/sagemast/tests/health.rs
+++ b/crates/sagemast/tests/health.rs
@@ -1,11 +1,14 @@
-//! Failures count against a server, and it comes back by trials.
+//! Outlier ejection, and the admission of requests while servers are full or slow. An ejected server
+//! returns after successful ejection probes.
 
 mod common;
 
 use common::*;
 use sagemast::api::*;
 
-/// Answers every send at once: server 1 fails as `bad` says, the others serve in 30 ms.
+/// Runs `rounds` requests, one every 10 ms, and returns how many attempts server 1 received. Attempts at
+/// server 1 end with `failure` after 2 ms, and with `all_fail` so do attempts at the other servers.
+/// Otherwise the other servers answer after 30 ms.
 fn run_requests(stage: &mut Stage, rounds: usize, failure: Outcome, all_fail: bool) -> usize {
     let mut attempts_to_first = 0;
     for _ in 0..rounds {
@@ -23,7 +26,7 @@
     attempts_to_first
 }
 
-/// Guards against fast failers, which look idle and would win every draw they are in.
+/// Guards against servers that fail fast. They look idle and would win every draw.
 #[test]
 fn fast_failing_server_is_ejected() {
     for failure in [Outcome::Error, Outcome::Unreachable, Outcome::Reset] {
@@ -39,10 +42,14 @@
     let mut stage = Stage::new(settings(), (1..=5).map(listing).collect());
     run_requests(&mut stage, 100, Outcome::Error, false);
     let attempts_after_recovery = run_requests(&mut stage, 2_000, Outcome::Ok, false);
-    assert!(attempts_after_recovery > 100, "{attempts_after_recovery} of 2,000 after it had recovered");
+    assert!(
+        attempts_after_recovery > 100,
+        "{attempts_after_recovery} of 2,000 after the server had recovered"
+    );
 }
 
-/// Guards against flapping: the answer to a send from before the ejection once ended it in the same millisecond.
+/// Guards against flapping. The answer to an attempt sent before the ejection once ended the ejection in
+/// the same millisecond.
 #[test]
 fn answers_to_earlier_attempts_do_not_end_an_ejection() {
     let mut stage = Stage::new(settings(), (1..=5).map(listing).collect());
@@ -52,7 +59,7 @@
         let (request, actions) = stage.arrive(REPEATABLE);
         requests_to_first.extend(sent_to(&actions).filter(|upstream| upstream.0 == 1).map(|_| request));
     }
-    assert!(requests_to_first.len() >= 8, "{} sends to the first", requests_to_first.len());
+    assert!(requests_to_first.len() >= 8, "{} requests to server 1", requests_to_first.len());
     let mut logs = Vec::new();
     for (index, request) in requests_to_first.into_iter().enumerate() {
         stage.now += 1.0;
@@ -62,10 +69,10 @@
     let logged =
         |text: &str| logs.iter().any(|a| matches!(a, Action::Log { text: line, .. } if line.contains(text)));
     assert!(logged("ejected"), "five resets in a row");
-    assert!(!logged("is back"), "nothing was tried since");
+    assert!(!logged("is back"), "no ejection probe was sent since the ejection");
 }
 
-/// Guards against ejecting everyone when the network or we ourselves are at fault.
+/// Guards against ejecting all servers when the network or the sidecar itself is at fault.
 #[test]
 fn ejection_leaves_a_majority_of_servers() {
     let mut stage = Stage::new(settings(), (1..=5).map(listing).collect());
@@ -73,14 +80,15 @@
     let mut used = std::collections::BTreeSet::new();
     for _ in 0..40 {
         let (request, actions) = stage.arrive(ONCE);
-        let upstream = sent_to(&actions).expect("someone is asked");
+        let upstream = sent_to(&actions).expect("a server receives the request");
         used.insert(upstream);
         stage.finish(request, 0, upstream, Outcome::Ok, 30.0);
     }
     assert!(used.len() >= 3, "{used:?}");
 }
 
-/// Guards against hung servers: nothing comes back from them, not even a failure, until the time-outs.
+/// Guards against hung servers. Nothing comes back from them until their attempts time out, not even a
+/// failure.
 #[test]
 fn unanswered_attempts_count_before_they_time_out() {
     let mut stage = Stage::new(settings(), (1..=4).map(listing).collect());
@@ -89,7 +97,8 @@
         stage.now += 5.0;
         let (request, actions) = stage.arrive(REPEATABLE);
         for action in &actions {
-            // It answers probes, and always looks as if it had just finished everything.
+            // Every polled server reports that it is idle, the hung one included: it looks as if it had
+            // just finished all its requests.
             if let Action::Probe(upstream) = action {
                 stage.report(upstream.0, 0.0, 0.0);
             }
@@ -101,10 +110,11 @@
             stage.finish(request, 0, upstream, Outcome::Ok, 20.0);
         }
     }
-    assert!(sends_to_hung <= 5, "{sends_to_hung} of 160 went to a server that answers nothing");
+    assert!(sends_to_hung <= 5, "{sends_to_hung} of 160 went to a server that answers no request");
 }
 
-/// "Full" tells of load, which the counts show already; ejecting for it would take capacity away under overload.
+/// `Outcome::Full` is a sign of load, which the in-flight counts already show. Ejecting a server for it
+/// would remove capacity under overload.
 #[test]
 fn full_outcome_does_not_eject() {
     let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
@@ -134,7 +144,8 @@
     assert!(refused(&actions));
 }
 
-/// Guards against a lock-out: a service time learnt in a jam must not refuse everything on idle servers for good.
+/// Guards against a lockout. A service time measured during an overload must not lead the module to reject
+/// all requests for good while the servers are idle.
 #[test]
 fn idle_server_accepts_requests_whatever_was_measured() {
     let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
@@ -154,8 +165,8 @@
     assert!(sent_to(&stage.arrive(REPEATABLE).1).is_some());
 }
 
-/// Guards against shedding at random: under overload what earns least for its work goes first, and then what
-/// tenants send beyond their part.
+/// Guards against random load shedding. Under overload the module first rejects the requests with the
+/// lowest priority weight for their work, and then those that tenants send above their quota.
 #[test]
 fn lowest_value_requests_are_rejected_first() {
     let mut settings = settings();
@@ -169,7 +180,7 @@
     stage.settle(&ids, 2.0, 0.5);
     for number in 0..4_000_u64 {
         stage.now += 5.0;
-        // Of servers that work on 4 at once one in eight has room for a few more.
+        // Each server works on 4 requests at once, and one server in eight has capacity for a few more.
         ids.iter().for_each(|id| stage.report(*id, if id % 8 == 0 { 5.0 } else { 12.0 }, 1.0));
         let (class, tenant) = ([REPEATABLE, BY_ALL][(number / 16 % 2) as usize], u64::from(number % 5 == 0));
         let request = RequestId(number);
@@ -184,15 +195,15 @@
         }
     }
     let rate = |class, tenant| {
-        let (refused, all): (u32, u32) = rejections[&(class, TenantId(tenant))];
-        f64::from(refused) / f64::from(all)
+        let (rejected, total): (u32, u32) = rejections[&(class, TenantId(tenant))];
+        f64::from(rejected) / f64::from(total)
     };
-    assert!(rate(REPEATABLE, 0) > rate(BY_ALL, 0) + 0.1, "by worth: {rejections:?}");
-    assert!(rate(BY_ALL, 0) > rate(BY_ALL, 1) + 0.1, "by share: {rejections:?}");
+    assert!(rate(REPEATABLE, 0) > rate(BY_ALL, 0) + 0.1, "by priority weight: {rejections:?}");
+    assert!(rate(BY_ALL, 0) > rate(BY_ALL, 1) + 0.1, "by tenant quota: {rejections:?}");
 }
 
-/// Guards against feeding a jam: when all servers have become slow, one that a sidecar has not heard of for a
-/// while must be taken for slow, too, and not for quick.
+/// Guards against sending more requests into an overload. When all servers have become slow, the module
+/// must also assume slowness of a server without recent answers, and must not take it for fast.
 #[test]
 fn fleet_wide_slowness_applies_to_servers_without_recent_answers() {
     let mut stage = Stage::new(settings(), (1..=20).map(listing).collect());
@@ -214,10 +225,11 @@
     assert_eq!(run_requests(&mut stage, 200, 40.0), 0);
     run_requests(&mut stage, 100, 400.0);
     let rejections = run_requests(&mut stage, 100, 400.0);
-    assert!(rejections > 60, "{rejections} of 100 refused, though every answer is late");
+    assert!(rejections > 60, "{rejections} of 100 rejected, though every answer is late");
 }
 
-/// Guards against crowding that no report shows: while much of what is accepted comes late, less is accepted.
+/// Guards against overload that no report shows. While many accepted requests are answered late, the module
+/// accepts fewer.
 #[test]
 fn fewer_requests_are_accepted_while_answers_are_late() {
     let mut settings = settings();
@@ -233,7 +245,7 @@
             let (request, actions) = stage.arrive(REPEATABLE);
             let Some(upstream) = sent_to(&actions) else { continue };
             accepted += u32::from(round >= 300);
-            // Every second request is heavy: the usual service time does not change.
+            // Every second request is heavy, so that the typical service time stays the same.
             let heavy = late && round % 2 == 0;
             stage.now += if heavy { 450.0 } else { 0.0 };
             stage.finish(request, 0, upstream, Outcome::Ok, if heavy { 450.0 } else { 60.0 });
@@ -241,10 +253,14 @@
         accepted
     };
     let (usual, with_late_answers) = (accepted(false), accepted(true));
-    assert!(with_late_answers * 10 < usual * 9, "{with_late_answers} of {usual}");
+    assert!(
+        with_late_answers * 10 < usual * 9,
+        "{with_late_answers} accepted while answers are late, {usual} usually"
+    );
 }
 
-/// Guards against advice that is kept too well: a client that stays away for longer than its aim comes back for nothing.
+/// Guards against a Retry-After beyond the latency objective. A client that waits longer than its objective
+/// retries in vain.
 #[test]
 fn retry_after_fits_within_the_latency_objective() {
     let mut stage = Stage::new(settings(), vec![]);
@@ -256,13 +272,14 @@
         })
         .collect();
     assert_eq!(delays.len(), 200);
-    assert!(delays.iter().all(|delay| *delay < 100.0), "half of the aim of 200 ms at the very most");
+    assert!(delays.iter().all(|delay| *delay < 100.0), "at most half of the latency objective of 200 ms");
     let spread = delays.iter().copied().fold(0.0, f64::max) - delays.iter().copied().fold(1e9, f64::min);
     assert!(spread > 30.0, "spread over {spread} ms");
 }
 
-/// Guards against a fleet that is being enlarged: many cold servers, slow as they must be, once made service times
-/// look three times their best, and the module refused work that the warm ones had room for.
+/// Guards against rejections while a fleet grows. Servers in slow start are slow by design. Many of them
+/// once made service times look three times as long as the best, and the module rejected requests that warm
+/// servers had capacity for.
 #[test]
 fn servers_in_slow_start_do_not_make_others_look_overloaded() {
     let mut settings = settings();
@@ -280,7 +297,7 @@
         stage.report(1, if round < 40 { 0.8 } else { 7.5 }, 0.05);
         stage.report(2, 0.5, 0.05);
         let (request, actions) = stage.arrive(REPEATABLE);
-        let upstream = sent_to(&actions).expect("there is room");
+        let upstream = sent_to(&actions).expect("a server has capacity");
         let in_slow_start = upstream == UpstreamId(2) && round >= 40;
         sends_in_slow_start += usize::from(in_slow_start);
         let latency =
@@ -288,14 +305,14 @@
         stage.now += latency;
         stage.finish(request, 0, upstream, Outcome::Ok, latency);
     }
-    assert!(sends_in_slow_start > 3, "only {sends_in_slow_start} went to the cold server");
+    assert!(sends_in_slow_start > 3, "only {sends_in_slow_start} went to the server in slow start");
     stage.report(1, 6.0, 0.05);
     stage.report(2, 20.0, 0.05);
     assert_eq!(sent_to(&stage.arrive(REPEATABLE).1), Some(UpstreamId(1)));
 }
 
-/// Guards against starving a class: with room by worth for service time alone, the class whose requests take longer
-/// would bear all refusals for as long as servers are busy.
+/// Guards against starving a class. If capacity were granted by priority weight per service time alone, the
+/// class with the longer service time would take all rejections for as long as servers are busy.
 #[test]
 fn rejections_are_spread_over_the_classes() {
     let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
@@ -306,7 +323,8 @@
         let (index, class, service_time) =
             if round % 2 == 0 { (0, REPEATABLE, 40.0) } else { (1, BY_ALL, 64.0) };
         stage.now += 50.0;
-        // Their size stays known, from the first reports: the utilisation is too low to tell anything.
+        // The capacity estimates from the first reports stay: the utilisation in these reports is too low
+        // for a new estimate.
         [1, 2].into_iter().for_each(|id| stage.report(id, if busy { 9.2 } else { 0.8 }, 0.05));
         let (request, actions) = stage.arrive(class);
         let Some(upstream) = sent_to(&actions) else { continue };
@@ -318,8 +336,9 @@
     assert!(served[1] > 5 && served[1] * 3 > served[0], "served by class: {served:?}");
 }
 
-/// Guards against a lock-out: on servers that take few at a time the shrunken idle limit once came to less than one
-/// request, so that nothing was sent, nothing was learnt, and everything was refused for good.
+/// Guards against a lockout. On servers that take few requests at a time, the reduced limit for an idle
+/// server once came to less than one request. Nothing was sent, so no answer corrected the limit, and all
+/// requests were rejected for good.
 #[test]
 fn empty_server_accepts_requests_in_an_overloaded_fleet() {
     let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
@@ -329,13 +348,14 @@
         stage.now += 50.0;
         [1, 2].into_iter().for_each(|id| stage.report(id, 0.0, 0.0));
         let (request, actions) = stage.arrive(REPEATABLE);
-        let upstream = sent_to(&actions).expect("empty servers have room");
+        let upstream = sent_to(&actions).expect("empty servers have capacity");
         stage.now += latency;
         stage.finish(request, 0, upstream, Outcome::Ok, latency);
     }
 }
 
-/// Guards against a hung server that looks idle: an old unanswered send counts against it before any time-out.
+/// Guards against a hung server that looks idle. An old unanswered attempt counts against its server before
+/// any timeout.
 #[test]
 fn unanswered_attempt_counts_as_slowness() {
     let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
@@ -343,9 +363,9 @@
     for _ in 0..60 {
         let (request, actions) = stage.arrive(REPEATABLE);
         stage.now += 20.0;
-        stage.finish(request, 0, sent_to(&actions).expect("there is room"), Outcome::Ok, 20.0);
+        stage.finish(request, 0, sent_to(&actions).expect("a server has capacity"), Outcome::Ok, 20.0);
     }
-    let hung = sent_to(&stage.arrive(REPEATABLE).1).expect("there is room");
+    let hung = sent_to(&stage.arrive(REPEATABLE).1).expect("a server has capacity");
     let other = if hung.0 == 1 { 2 } else { 1 };
     stage.now += 120.0;
     for _ in 0..20 {
@@ -357,7 +377,8 @@
     }
 }
 
-/// Guards against losing sight: servers that have no room are never drawn, and would stay full for us for good.
+/// Guards against servers that stay full for good in the module's view. A server without capacity is never
+/// selected, so only load polls show that it has capacity again.
 #[test]
 fn servers_without_capacity_are_still_polled() {
     let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
@@ -369,14 +390,15 @@
     assert!(actions.iter().any(|action| matches!(action, Action::Probe(_))));
 }
 
-/// Guards against branding: a server that was slow once is tried again after a while.
+/// Guards against avoiding a server for good. A server that was slow once receives requests again after a
+/// while.
 #[test]
 fn slowness_estimate_expires() {
     let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
     stage.settle(&[1, 2], 1.0, 0.25);
     for _ in 0..200 {
         let (request, actions) = stage.arrive(REPEATABLE);
-        let upstream = sent_to(&actions).expect("there is room");
+        let upstream = sent_to(&actions).expect("a server has capacity");
         let latency = if upstream.0 == 1 { 100.0 } else { 20.0 };
         stage.now += latency;
         stage.finish(request, 0, upstream, Outcome::Ok, latency);
@@ -387,8 +409,8 @@
     assert_eq!(sent_to(&stage.arrive(REPEATABLE).1), Some(UpstreamId(1)));
 }
 
-/// How many requests each of two servers takes until both refuse, none of them answered. One may be refused by
-/// chance, ten in a row are not.
+/// Sends requests, none of which is answered, until ten are rejected, and returns how many each of the two
+/// servers received. One rejection may be due to chance, but ten are not.
 fn accepted_by_each_server(stage: &mut Stage) -> [usize; 2] {
     let (mut sends, mut rejections) = (Vec::new(), 0);
     while rejections < 10 {
@@ -406,8 +428,9 @@
     accepted
 }
 
-/// Guards against refusing everywhere for what one server says, and for good: one that turns requests away is sent
-/// fewer, the others as many as before, and after a while it is tried in full again.
+/// Guards against rejecting requests for all servers, or for good, because one server answers `Full`. That
+/// server receives fewer requests and the others as many as before. After a while its limit is restored in
+/// full.
 #[test]
 fn server_that_answers_full_receives_fewer_requests_temporarily() {
     let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
--- a/crates/sagemast/tests/pick.rs
+++ b/crates/sagemast/tests/pick.rs
@@ -1,4 +1,5 @@
-//! The ordinary path: a random pair, the smaller projected utilisation.
+//! Server selection: the module draws two servers at random and sends the request to the one with the lower
+//! projected utilisation.
 
 mod common;
 
@@ -8,7 +9,9 @@
 use sagemast::Balancer;
 use sagemast::api::*;
 
-/// Sends of `rounds` requests that all stay out for `hold` ms, with servers that report what they hold.
+/// Sends `rounds` requests, one every 5 ms, and counts them by server. Each request is answered after
+/// `service_time`. `capacities` holds the id of each server and how many requests it works on at once. A
+/// polled server reports its true in-flight count.
 fn sends_by_server(capacities: &[(u64, f64)], rounds: usize, service_time: Millis) -> BTreeMap<u64, usize> {
     let mut stage = Stage::new(
         settings(),
@@ -63,15 +66,15 @@
     assert!(sends.values().all(|count| *count > 120), "{sends:?}");
 }
 
-/// Guards against κ read off a saturated server: the queue is in its in-flight count, so in-flight over
-/// utilisation would call it large and send it more.
+/// Guards against overestimating the capacity (κ) of a saturated server. Its in-flight count includes its
+/// queue, so in-flight divided by utilisation would make the server look large and send it more requests.
 #[test]
 fn saturated_report_does_not_raise_capacity() {
     let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
     stage.settle(&[1, 2], 8.0, 0.89);
     for _ in 0..10 {
         stage.now += 200.0;
-        // κ is 9 for both; read as 24 / 1.0 it would rise for the first.
+        // κ is 9 for both servers. Computed as 24 / 1.0, it would rise for server 1.
         stage.report(1, 24.0, 1.0);
         stage.report(2, 8.0, 0.89);
         let (request, actions) = stage.arrive(REPEATABLE);
@@ -84,13 +87,19 @@
         stage.report(1, 24.0, 1.0);
         stage.report(2, 9.0, 0.89);
         let (request, actions) = stage.arrive(REPEATABLE);
-        assert_eq!(sent_to(&actions), Some(UpstreamId(2)), "9 is less than 24 of as many");
+        assert_eq!(
+            sent_to(&actions),
+            Some(UpstreamId(2)),
+            "9 in flight is less than 24 at the same capacity"
+        );
         stage.finish(request, 0, UpstreamId(2), Outcome::Cancelled, 1.0);
     }
 }
 
-/// Guards against herding: every sidecar reads the same server's report, and by one reading alone they all sent there
-/// until the next. What others hold is a mean over several; what is ours counts at once.
+/// Guards against herding. All sidecars read the same report of a server. If each of them relied on that
+/// report alone, they would all send requests there until the next report, as they once did. The module
+/// therefore averages the in-flight requests of other sidecars over several reports, and counts its own
+/// requests at once.
 #[test]
 fn single_low_report_does_not_attract_all_requests() {
     let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
@@ -100,12 +109,13 @@
     let mut sends = BTreeMap::new();
     for _ in 0..8 {
         let (_, actions) = stage.arrive(REPEATABLE);
-        *sends.entry(sent_to(&actions).expect("there is room").0).or_insert(0) += 1;
+        *sends.entry(sent_to(&actions).expect("a server has capacity").0).or_insert(0) += 1;
     }
     assert!(sends.get(&2).is_some_and(|count| *count >= 3), "{sends:?}");
 }
 
-/// Guards against late reports: one below what we have out there ourselves cannot be current.
+/// Guards against outdated reports. A report of fewer requests than this sidecar alone has in flight at the
+/// server cannot be current.
 #[test]
 fn report_below_own_in_flight_count_is_not_trusted() {
     let mut settings = settings();
@@ -119,14 +129,15 @@
         let (_, actions) = stage.arrive(REPEATABLE);
         *sends.entry(sent_to(&actions).unwrap().0).or_insert(0) += 1;
         stage.now += 1.0;
-        // Both go on saying that they are idle, as if nothing had been sent.
+        // Both servers keep reporting that they are idle, as if they had received no request.
         stage.report(1, 0.0, 0.0);
         stage.report(2, 0.0, 0.0);
     }
     assert_eq!(sends, BTreeMap::from([(1, 3), (2, 3)]));
 }
 
-/// Guards against capacity that is mere parallelism: two servers hold as many, one works at half the pace.
+/// Guards against equating capacity with concurrency. All four servers hold the same number of requests,
+/// but servers 1 and 2 work at half the speed.
 #[test]
 fn slower_server_receives_fewer_requests() {
     let mut stage = Stage::new(settings(), (1..=4).map(listing).collect());
@@ -184,14 +195,15 @@
         let (_, actions) = stage.arrive(REPEATABLE);
         cross_zone_sends += usize::from(sent_to(&actions).is_some_and(|upstream| upstream.0 % 2 == 1));
         if round == 5 {
-            assert_eq!(cross_zone_sends, 0, "near servers had room");
+            assert_eq!(cross_zone_sends, 0, "servers in the sidecar's zone had capacity");
         }
     }
-    assert!(cross_zone_sends > 0, "and when they had none, it spilled over");
+    assert!(cross_zone_sends > 0, "requests go to the other zone once the sidecar's zone is full");
 }
 
-/// Guards against capacity read off one moment: utilisation lags, so just after a busy spell few in flight meet
-/// a high utilisation, and their ratio would call the server tiny.
+/// Guards against estimating capacity from a single report. Utilisation lags behind the in-flight count.
+/// Just after a busy period a server reports few requests in flight and a high utilisation, and their ratio
+/// would make the server look tiny.
 #[test]
 fn capacity_is_estimated_from_averages() {
     let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
@@ -208,11 +220,15 @@
         stage.report(2, 6.0, 0.75);
     }
     let (_, actions) = stage.arrive(REPEATABLE);
-    assert_eq!(sent_to(&actions), Some(UpstreamId(1)), "about as large still, and less in flight");
+    assert_eq!(
+        sent_to(&actions),
+        Some(UpstreamId(1)),
+        "its capacity is about the same, and fewer requests are in flight"
+    );
 }
 
-/// Guards against late reports: when they lack what is known to be out there, they lead every sidecar to the
-/// servers that were idle a while ago.
+/// Guards against outdated reports. Reports that lack requests known to be in flight would lead every
+/// sidecar to the servers that were idle a while ago.
 #[test]
 fn outdated_reports_do_not_attract_all_requests() {
     let mut settings = settings();
@@ -227,7 +243,7 @@
         if round >= 200 {
             *sends.entry(upstream.0).or_insert(0) += 1;
         }
-        // What the first says is always too little, what the others say is too much.
+        // Server 1 always reports too little load, and the other servers report too much.
         for id in 1..=3 {
             stage.now += 1.0;
             stage.report(id, if id == 1 { 0.0 } else { 4.0 }, if id == 1 { 0.0 } else { 0.9 });
@@ -241,8 +257,9 @@
     assert!(sends[&2] > 40 && sends[&3] > 40, "{sends:?}");
 }
 
-/// Guards against the first second: a server's running mean of utilisation starts at 0, so that in-flight over it
-/// would call every server huge, and all sidecars would pile on.
+/// Guards against capacity estimates from the first second of a server. Its running mean of utilisation
+/// starts at 0, so in-flight divided by utilisation would make every server look huge, and all sidecars
+/// would overload it.
 #[test]
 fn first_reports_do_not_set_capacity() {
     let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
@@ -250,18 +267,19 @@
         stage.report(id, 12.0, 0.12);
     }
     let (_, actions) = stage.arrive(REPEATABLE);
-    assert!(refused(&actions), "12 on a server of unknown size is a long queue");
+    assert!(refused(&actions), "12 in flight is a long queue on a server of unknown capacity");
 }
 
-/// Guards against not knowing machines at full size: a small sidecar hears from one server too seldom to learn its
-/// size or pace, and once took them all for alike; what it hears of a kind stands in for the others of that kind.
+/// Guards against treating machines of different sizes alike. A small sidecar receives reports from a
+/// single server too seldom to estimate its capacity or speed, and once assumed the same for all servers.
+/// The estimates for a kind of machine apply to those servers of the kind that have not reported.
 #[test]
 fn server_without_reports_uses_the_estimates_of_its_kind() {
     let kind_of = |id: u64| KindId(id % 2);
     let sends_to_unreported = |kind: KindId| {
         let servers = (1..=12).map(|id| Listing { kind: kind_of(id), ..listing(id) }).collect();
         let mut stage = Stage::new(settings(), servers);
-        // Of the servers heard from, the odd ones hold four times as much at the same utilisation.
+        // Servers 1 to 4 report. The odd ones hold four times as many requests at the same utilisation.
         stage.settle(&[1, 3], 4.0, 0.5);
         stage.settle(&[2, 4], 1.0, 0.5);
         stage.now += 30_000.0;
@@ -269,18 +287,19 @@
         for _ in 0..400 {
             stage.now += 500.0;
             let (request, actions) = stage.arrive(REPEATABLE);
-            let upstream = sent_to(&actions).expect("there is room");
+            let upstream = sent_to(&actions).expect("a server has capacity");
             sends += u32::from(upstream.0 > 4 && kind_of(upstream.0) == kind);
             stage.finish(request, 0, upstream, Outcome::Ok, 20.0);
         }
         sends
     };
     let (large, small) = (sends_to_unreported(KindId(1)), sends_to_unreported(KindId(0)));
-    assert!(large > 2 * small, "{large} to the large kind, {small} to the small one");
+    assert!(large > 2 * small, "{large} requests to the large kind, {small} to the small kind");
 }
 
-/// Guards against waiting for probes: a report is a second old when it comes, so that asking again tells nothing new,
-/// and a request that waits for it loses time to its aim. Its pair is asked for the sake of later picks.
+/// Guards against delaying a request until load polls return. A report is already a second old when it
+/// arrives, so another poll brings nothing new, and the request would lose time against its latency
+/// objective. The module polls the drawn pair for the benefit of later selections.
 #[test]
 fn request_is_sent_immediately_and_its_pair_is_polled() {
     let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
@@ -300,8 +319,9 @@
     }
 }
 
-/// Guards against crowding servers with work that earns nothing any more: in a burst requests waited there to their
-/// clients' last moment, long past their aim, and those that came later waited behind them.
+/// Guards against queueing requests whose answers have no value left. In a burst, requests waited at
+/// servers until their clients' deadlines, long past their latency objective, and later requests waited
+/// behind them.
 #[test]
 fn attempt_times_out_when_its_answer_has_no_value_left() {
     let timeout = |late_worth: f64| {
@@ -312,8 +332,8 @@
             Action::Send { timeout, .. } => Some(*timeout),
             _ => None,
         });
-        attempt_timeout.expect("an idle fleet has room")
+        attempt_timeout.expect("an idle fleet has capacity")
     };
-    assert_eq!(timeout(0.0), 200.0, "its aim");
-    assert_eq!(timeout(0.5), 500.0, "as long as its client waits: late answers are worth something");
+    assert_eq!(timeout(0.0), 200.0, "its latency objective");
+    assert_eq!(timeout(0.5), 500.0, "the client's deadline, as a late answer still has value");
 }
