--- a/crates/sagemast/tests/rules.rs
+++ b/crates/sagemast/tests/rules.rs
@@ -1,4 +1,6 @@
-//! The four rules, on the module alone.
+//! The four safety rules, tested on the decision module alone: no request runs again unless that is
+//! harmless, an ended request causes no further attempts, draining and unlisted servers receive no new
+//! requests, and servers in slow start receive no more than their limit.
 
 mod common;
 
@@ -6,7 +8,7 @@
 use sagemast::api::*;
 
 fn servers_in_three_cells() -> Vec<Listing> {
-    // Cells 0 and 1 in zone 0, cell 2 in zone 1.
+    // Cells 0 and 1 are in zone 0, and cell 2 is in zone 1.
     [1, 2, 3, 11, 12, 13, 21, 22, 23].map(|id| Listing { zone: ZoneId(id / 20), ..listing(id) }).to_vec()
 }
 
@@ -15,7 +17,7 @@
     let mut stage = Stage::new(settings(), vec![]);
     for class in 0..5 {
         let (_, actions) = stage.arrive(ClassId(class));
-        assert!(refused(&actions), "nothing ran, so it is refused");
+        assert!(refused(&actions), "nothing ran, so the request is rejected");
     }
 }
 
@@ -42,7 +44,10 @@
     assert_eq!(actions, vec![Action::Cancel { request, attempt: AttemptNo(0) }]);
     let actions_after_end = stage.finish(request, 0, upstream, Outcome::Error, 20.0);
     assert_eq!(sent_to(&actions_after_end), None);
-    assert!(!refused(&actions_after_end) && !failed(&actions_after_end), "the client has left");
+    assert!(
+        !refused(&actions_after_end) && !failed(&actions_after_end),
+        "the client has left, so no answer is due"
+    );
 }
 
 #[test]
@@ -64,7 +69,10 @@
         stage.now += 10.0;
         let actions = stage.finish(request, 0, upstream, outcome, 10.0);
         assert_eq!(sent_to(&actions), None, "{outcome:?}");
-        assert!(failed(&actions), "{outcome:?} may have run: a refusal would promise too much");
+        assert!(
+            failed(&actions),
+            "{outcome:?}: the request may have run, and a rejection promises that it did not"
+        );
     }
     for outcome in [Outcome::Full, Outcome::Unreachable] {
         let mut stage = Stage::new(settings(), servers_in_three_cells());
@@ -72,7 +80,7 @@
         let upstream = sent_to(&actions).unwrap();
         stage.now += 10.0;
         let actions = stage.finish(request, 0, upstream, outcome, 10.0);
-        assert!(sent_to(&actions).is_some(), "{outcome:?} proves that it never ran");
+        assert!(sent_to(&actions).is_some(), "{outcome:?} proves that the request never ran");
     }
 }
 
@@ -89,24 +97,29 @@
             if let Some(next) = sent_to(&actions) {
                 assert_eq!(next.0 / ids_per_group, first.0 / ids_per_group);
             }
-            assert!(!refused(&actions), "no refusal where a repeat could land outside the group");
+            assert!(
+                !refused(&actions),
+                "no rejection where a client's retry could reach a server outside the group"
+            );
         }
     }
 }
 
 #[test]
 fn request_with_idempotency_key_is_not_retried_after_its_window() {
-    // The window counts from the first send that may have run, not from the latest.
+    // The window starts with the first attempt that may have run, not with the latest one.
     let mut settings = settings();
     settings.classes[BY_CELL.0].aim = 5_000.0;
     let mut stage = Stage::new(settings, servers_in_three_cells());
     stage.event(arrival(9_000, BY_CELL, 5_000.0));
+    // The timers of other requests have no effect on this one.
     (0..2).for_each(|_| drop(stage.event(Event::Woke(9_000 >> 1))));
     let request = RequestId(9_000);
     let mut attempt = 0;
     let mut retried_on = None;
     for id in [1, 2, 3, 11, 12, 13, 21, 22, 23] {
-        // Find where it went: only the true server's outcome is taken.
+        // Ends the first attempt until the module retries it. The module identifies an attempt by its
+        // request and number, so the first outcome counts whichever server it names.
         stage.now = 1_200.0;
         let actions = stage.finish(request, 0, UpstreamId(id), Outcome::Error, 200.0);
         if let Some(next) = sent_to(&actions) {
@@ -115,7 +128,7 @@
             break;
         }
     }
-    let next = retried_on.expect("within the window it is resent");
+    let next = retried_on.expect("the request is retried within the window");
     stage.now = 1_310.0;
     let actions = stage.finish(request, attempt, next, Outcome::Error, 110.0);
     assert_eq!(sent_to(&actions), None);
@@ -155,14 +168,15 @@
     stage.event(Event::Listed(ListNews::Complete(vec![listing(3)])));
     for _ in 0..30 {
         let (request, actions) = stage.arrive(REPEATABLE);
-        assert_eq!(sent_to(&actions), Some(UpstreamId(3)), "2 is missing from the complete list");
+        assert_eq!(sent_to(&actions), Some(UpstreamId(3)), "server 2 is missing from the complete list");
         stage.now += 5.0;
         stage.finish(request, 0, UpstreamId(3), Outcome::Ok, 5.0);
     }
 }
 
-/// All sidecars together, none knowing of the others, stay inside a cold server's allowance; and yet it gets some
-/// work. A budget divided by a thousand sidecars once came to less than one request for each, so nobody ever sent.
+/// All sidecars together stay within the slow-start limit of a server, although none of them knows what the
+/// others send, and the server still receives some work. A limit divided by a thousand sidecars once came
+/// to less than one request for each, so no sidecar ever sent any.
 #[test]
 fn all_sidecars_together_stay_within_the_slow_start_limit() {
     const SERVERS: u64 = 10;
@@ -176,7 +190,8 @@
             .map(|id| Listing { started: (id >= first_in_slow_start).then_some(start), ..listing(id) })
             .collect();
         let (window, multiple) = (settings.safety.fall, settings.safety.fall_multiple);
-        // Each server does one request at a time; together the sidecars ask for nine tenths of what all can do.
+        // Each server works on one request at a time. All sidecars together send nine tenths of what the
+        // servers can process.
         let (duration, arrivals_per_ms) = (3.0 * window, 0.9 * SERVERS as f64 / SERVICE_TIME);
         let mut sends: Vec<(UpstreamId, Millis)> = Vec::new();
         for sidecar in 0..sidecars {
@@ -196,10 +211,11 @@
             let mut send_times: Vec<Millis> =
                 sends.iter().filter(|send| send.0.0 == id).map(|send| send.1).collect();
             send_times.sort_by(f64::total_cmp);
-            // Beside idle warm ones it need not win any; where all are cold, all must.
+            // Beside idle warm servers, a server in slow start need not receive any request. If all servers
+            // are in slow start, each must receive some.
             assert!(
                 first_in_slow_start > 1 || !send_times.is_empty(),
-                "{sidecars} sidecars: server {id} never gets any work"
+                "{sidecars} sidecars: server {id} never receives a request"
             );
             for window_start in &send_times {
                 let work_sent = send_times
@@ -217,9 +233,10 @@
     }
 }
 
-/// Guards against leaving new servers idle beside full ones: while the fleet refused most, each cold server was sent next
-/// to nothing, so that a release in which most servers are new served least just when they were wanted. What all
-/// sidecars together send them stays inside the allowance, with three times as many tries as all servers can do.
+/// Guards against leaving new servers idle beside full ones. While most requests were rejected, each server
+/// in slow start received next to nothing. A release, in which most servers are new, therefore served least
+/// just when capacity was needed. What all sidecars together send to these servers stays within the
+/// slow-start limit, although three times as many requests arrive as all servers can process.
 #[test]
 fn servers_in_slow_start_are_used_while_warm_servers_are_full() {
     const SERVERS: u64 = 10;
@@ -237,7 +254,7 @@
     for sidecar in 0..SIDECARS {
         let mut stage = Stage::seeded(settings.clone(), warm.clone(), u64::from(sidecar));
         let interval = f64::from(SIDECARS) / arrivals_per_ms;
-        // The old ones are full for a while before.
+        // The warm servers are full for a while before the new servers start.
         for round in 0..200 {
             stage.now = start - interval * f64::from(200 - round);
             stage.report(1 + (round % 4) as u64, 5.0, 1.0);
@@ -247,7 +264,8 @@
         stage.now = start + interval * f64::from(sidecar) / f64::from(SIDECARS);
         let mut number = 0;
         while stage.now < start + duration {
-            // What is heard of warm servers is full, of cold ones idle, one of them at a time.
+            // One server reports at a time. Warm servers report that they are full, servers in slow start
+            // that they are idle.
             number += 1;
             let id = 1 + number % SERVERS;
             let (in_flight, utilisation) = if in_slow_start(id) { (0.0, 0.1) } else { (5.0, 1.0) };
@@ -280,13 +298,14 @@
         let last_capacity = capacity(start + duration - window);
         assert!(
             last_work >= 0.3 * last_capacity,
-            "server {id}: {last_work} ms of work where it could do {last_capacity}"
+            "server {id}: {last_work} ms of work in the last window, of the {last_capacity} ms that it can do"
         );
     }
 }
 
-/// Guards against new servers that stand idle because nobody has heard of them: in a large fleet they were taken to hold
-/// what warm ones hold, and by their slowness as crowded, at each sidecar until a probe of its own came back.
+/// Guards against new servers left idle for lack of reports. In a large fleet each sidecar assumed that a
+/// new server had as many requests in flight as warm servers have, and took it for overloaded because of
+/// its slow start, until a load poll of the sidecar's own returned.
 #[test]
 fn server_in_slow_start_without_reports_receives_its_share() {
     const SIDECARS: u32 = 100;
@@ -300,7 +319,8 @@
     for sidecar in 0..SIDECARS {
         let mut stage = Stage::seeded(settings.clone(), warm.clone(), u64::from(sidecar));
         stage.now = start - 2_000.0;
-        // Warm servers have all cores in use and a request waiting; nothing is ever heard of the cold ones.
+        // Warm servers have all cores in use and a request waiting. No report ever arrives from the servers
+        // in slow start.
         stage.settle(&[1, 2, 3, 4], 4.0, 0.95);
         stage.now = start + 5_000.0;
         stage.event(Event::Listed(ListNews::Changed(starting.clone())));
@@ -312,7 +332,10 @@
             }
         }
     }
-    assert!(sends_in_slow_start > 100, "{sends_in_slow_start} of 1000 to the six cold ones");
+    assert!(
+        sends_in_slow_start > 100,
+        "{sends_in_slow_start} of 1000 requests to the six servers in slow start"
+    );
 }
 
 #[test]
@@ -328,15 +351,16 @@
         }
         accepted
     };
-    assert_eq!(accepted(&mut stage), 50, "it is warm");
+    assert_eq!(accepted(&mut stage), 50, "the server is warm");
     let restarted = Listing { started: Some(stage.now), ..listing(1) };
     stage.event(Event::Listed(ListNews::Changed(vec![restarted])));
     let after_restart = accepted(&mut stage);
-    assert!((1..25).contains(&after_restart), "{after_restart} of 50 once it is cold again");
+    assert!((1..25).contains(&after_restart), "{after_restart} of 50 requests accepted after the restart");
 }
 
-/// Guards against refusing what warm servers have room for: a pair of cold ones that may not be sent more yet once
-/// ended the request, and where a sidecar's own zone had just restarted, most of them.
+/// Guards against rejecting requests that warm servers have capacity for. A drawn pair of servers at their
+/// slow-start limit once ended the request. Where the servers of a sidecar's own zone had just restarted,
+/// most requests ended that way.
 #[test]
 fn request_over_the_slow_start_limit_goes_to_a_warm_server() {
     let mut stage = Stage::new(settings(), (1..=3).map(listing).collect());
@@ -346,15 +370,19 @@
     for _ in 0..60 {
         stage.now += 50.0;
         let (request, actions) = stage.arrive(ONCE);
-        let upstream = sent_to(&actions).expect("the warm one is idle");
+        let upstream = sent_to(&actions).expect("the warm server is idle");
         sends_in_slow_start += u32::from(upstream.0 < 3);
         stage.finish(request, 0, upstream, Outcome::Ok, 20.0);
     }
-    assert!((1..30).contains(&sends_in_slow_start), "{sends_in_slow_start} of 60 to the cold ones");
+    assert!(
+        (1..30).contains(&sends_in_slow_start),
+        "{sends_in_slow_start} of 60 requests to the servers in slow start"
+    );
 }
 
-/// Guards against the same where two pairs are all that is drawn: a full near one and one in vain for a cold server left
-/// a request refused beside an idle warm server in another zone.
+/// Guards against rejected requests, as in the previous test, where the module draws only two pairs. The
+/// first pair was the full server of the sidecar's own zone, and the second was wasted on a server at its
+/// slow-start limit. The request was rejected beside an idle warm server in another zone.
 #[test]
 fn pair_rejected_by_the_slow_start_limit_is_followed_by_another_draw() {
     let mut settings = Settings { sidecars: 300, crossing_fee: 0.02, sizes_listed: true, ..settings() };
@@ -369,7 +397,7 @@
             stage.report(id, in_flight, 0.9);
         }
         let (request, actions) = stage.arrive(ONCE);
-        let upstream = sent_to(&actions).expect("the warm one of the other zone is idle");
+        let upstream = sent_to(&actions).expect("the warm server of the other zone is idle");
         stage.finish(request, 0, upstream, Outcome::Ok, 10.0);
     }
 }
