--- a/crates/sagemast/tests/guided.rs
+++ b/crates/sagemast/tests/guided.rs
@@ -1,4 +1,5 @@
-//! What a fleet tells the module, and what the module then does.
+//! How the module applies what it receives from the cluster: guidance, results of ejection probes, load
+//! reports of peers, and residency rules.
 
 mod common;
 
@@ -23,6 +24,7 @@
     actions.iter().filter_map(polled_server).collect()
 }
 
+/// Reason and Retry-After of each rejection among these actions.
 fn rejections(actions: &[Action]) -> Vec<(Reason, Millis)> {
     let rejection = |action: &Action| match action {
         Action::Refuse { reason, retry_after, .. } => Some((*reason, *retry_after)),
@@ -31,6 +33,7 @@
     actions.iter().filter_map(rejection).collect()
 }
 
+/// Residency rules: `zones` holds the zones of each ring, and `classes` the ring of each class, by index.
 fn residency_event(zones: &[&[u64]], classes: &[Option<usize>]) -> Event {
     let ring = |zones: &&[u64]| zones.iter().map(|zone| ZoneId(*zone)).collect();
     Event::Within(Residency {
@@ -40,7 +43,7 @@
     })
 }
 
-/// Twelve servers, a zone for every three.
+/// Twelve servers in four zones, three in each.
 fn servers_in_four_zones() -> Vec<Listing> {
     (0..12).map(|id| Listing { zone: ZoneId(id / 3), cell: CellId(id / 3), ..listing(id) }).collect()
 }
@@ -56,18 +59,19 @@
         let (request, actions) = stage.arrive(REPEATABLE);
         if let [(reason, retry_after)] = rejections(&actions)[..] {
             assert_eq!((reason, sent_to(&actions)), (Reason::Shed, None));
-            // Three tenths of an aim of 200 ms, and of that the slice.
+            // Retry-After lies within three tenths of the latency objective of 200 ms. Of that span the
+            // guidance assigns the part from 0.5 to 0.75.
             assert!((30.0..=45.0).contains(&retry_after), "{retry_after}");
             shed += 1;
         } else {
-            let upstream = sent_to(&actions).expect("there is room");
+            let upstream = sent_to(&actions).expect("a server has capacity");
             stage.finish(request, 0, upstream, Outcome::Ok, 0.5);
         }
         let (request, actions) = stage.arrive(ONCE);
-        let upstream = sent_to(&actions).expect("another class is let in");
+        let upstream = sent_to(&actions).expect("another class is admitted");
         stage.finish(request, 0, upstream, Outcome::Ok, 0.5);
     }
-    assert!((1_400..1_600).contains(&shed), "{shed} of 2000, where three quarters should be");
+    assert!((1_400..1_600).contains(&shed), "{shed} of 2000 requests shed, where three quarters should be");
     apply_guidance(&mut stage, Guidance::default());
     assert!(sent_to(&stage.arrive(REPEATABLE).1).is_some());
 }
@@ -87,7 +91,10 @@
     let counts: Vec<usize> =
         [2, 5, 11].map(|id| polled.iter().filter(|polled_id| **polled_id == id).count()).to_vec();
     assert_eq!(counts.iter().sum::<usize>(), polled.len(), "{polled:?}");
-    assert!(counts.iter().all(|count| (3..=4).contains(count)), "once in 300 ms over a second: {counts:?}");
+    assert!(
+        counts.iter().all(|count| (3..=4).contains(count)),
+        "one poll every 300 ms for a second: {counts:?}"
+    );
 }
 
 #[test]
@@ -95,7 +102,7 @@
     let mut stage = Stage::new(settings(), servers_in_four_zones());
     let retried = |stage: &mut Stage| {
         let (request, actions) = stage.arrive(REPEATABLE);
-        let upstream = sent_to(&actions).expect("there is room");
+        let upstream = sent_to(&actions).expect("a server has capacity");
         sent_to(&stage.finish(request, 0, upstream, Outcome::Full, 0.5)).is_some()
     };
     assert!(retried(&mut stage));
@@ -109,7 +116,11 @@
             retried(&mut stage)
         })
         .collect();
-    assert_eq!(retries, [true, false, true, false], "one saved up, and half of one for each first send");
+    assert_eq!(
+        retries,
+        [true, false, true, false],
+        "one retry is saved up, and each first attempt earns half of one"
+    );
 }
 
 #[test]
@@ -129,13 +140,13 @@
                 return;
             }
         }
-        panic!("it is ejected");
+        panic!("the server was not ejected");
     };
     let receives_requests = |stage: &mut Stage| {
         (0..60).any(|_| {
             stage.now += 5.0;
             let (request, actions) = stage.arrive(ONCE);
-            let upstream = sent_to(&actions).expect("there is room");
+            let upstream = sent_to(&actions).expect("a server has capacity");
             stage.finish(request, 0, upstream, Outcome::Ok, 1.0);
             upstream.0 == 3
         })
@@ -143,46 +154,50 @@
     eject(&mut stage);
     stage.now += 5_000.0;
     apply_guidance(&mut stage, Guidance { trials: upstream_ids(&[]), ..Guidance::default() });
-    assert!(!receives_requests(&mut stage), "its trial is another's");
+    assert!(!receives_requests(&mut stage), "another sidecar sends the ejection probes");
     stage.event(Event::Tried { upstream: UpstreamId(3), well: false });
     apply_guidance(&mut stage, Guidance { trials: upstream_ids(&[3]), ..Guidance::default() });
-    assert!(!receives_requests(&mut stage), "left alone after another's trial failed");
+    assert!(!receives_requests(&mut stage), "still ejected after another sidecar's probe failed");
     apply_guidance(&mut stage, Guidance { trials: upstream_ids(&[]), ..Guidance::default() });
     stage.event(Event::Tried { upstream: UpstreamId(3), well: true });
-    assert!(receives_requests(&mut stage), "back after another's trial");
+    assert!(receives_requests(&mut stage), "back after another sidecar's probe succeeded");
 }
 
 #[test]
 fn server_in_slow_start_receives_only_leased_requests() {
-    let cold = |id| Listing { started: Some(1_000.0), ..listing(id) };
-    let mut stage = Stage::new(settings(), vec![listing(1), cold(2), cold(3)]);
-    let sent = |stage: &mut Stage| {
-        let mut sent = [0; 4];
+    let in_slow_start = |id| Listing { started: Some(1_000.0), ..listing(id) };
+    let mut stage = Stage::new(settings(), vec![listing(1), in_slow_start(2), in_slow_start(3)]);
+    let send_requests = |stage: &mut Stage| {
+        let mut sends = [0; 4];
         for _ in 0..400 {
             let (request, actions) = stage.arrive(REPEATABLE);
             let Some(upstream) = sent_to(&actions) else { continue };
-            sent[upstream.0 as usize] += 1;
+            sends[upstream.0 as usize] += 1;
             stage.finish(request, 0, upstream, Outcome::Ok, 1.0);
         }
-        sent
+        sends
     };
     let lease = |requests, until| {
-        let cold = [(UpstreamId(2), ColdLease { requests, until })].into_iter().collect();
-        Guidance { cold: Some(cold), ..Guidance::default() }
+        let leases = [(UpstreamId(2), ColdLease { requests, until })].into_iter().collect();
+        Guidance { cold: Some(leases), ..Guidance::default() }
     };
     apply_guidance(&mut stage, lease(7, 2_000.0));
-    assert_eq!(sent(&mut stage)[2..], [7, 0], "what is leased, and nothing of whom the fleet did not name");
+    assert_eq!(
+        send_requests(&mut stage)[2..],
+        [7, 0],
+        "the leased requests, and none for a server that the guidance does not name"
+    );
     apply_guidance(&mut stage, lease(7, 2_000.0));
-    assert_eq!(sent(&mut stage)[2..], [0, 0], "the same lease told again");
-    let text = serde_json::to_string(&stage.balancer).expect("a checkpoint");
-    let restored: sagemast::Balancer = serde_json::from_str(&text).expect("what it wrote");
+    assert_eq!(send_requests(&mut stage)[2..], [0, 0], "the same lease received again");
+    let text = serde_json::to_string(&stage.balancer).expect("a serialized checkpoint");
+    let restored: sagemast::Balancer = serde_json::from_str(&text).expect("a readable checkpoint");
     stage.balancer = restored.resume(settings()).expect("the same settings");
-    assert_eq!(sent(&mut stage)[2..], [0, 0], "what was sent of it, in a checkpoint");
+    assert_eq!(send_requests(&mut stage)[2..], [0, 0], "the checkpoint keeps how much of the lease is used");
     apply_guidance(&mut stage, lease(5, 2_100.0));
-    assert_eq!(sent(&mut stage)[2..], [5, 0]);
+    assert_eq!(send_requests(&mut stage)[2..], [5, 0]);
     apply_guidance(&mut stage, lease(9, 2_200.0));
     stage.now = 2_200.0;
-    assert_eq!(sent(&mut stage)[2..], [0, 0], "it is over");
+    assert_eq!(send_requests(&mut stage)[2..], [0, 0], "the lease has expired");
 }
 
 #[test]
@@ -205,49 +220,52 @@
     };
     let send_one = |stage: &mut Stage| {
         let (request, actions) = stage.arrive(REPEATABLE);
-        let upstream = sent_to(&actions).expect("one has room");
+        let upstream = sent_to(&actions).expect("a server has capacity");
         stage.finish(request, 0, upstream, Outcome::Ok, 1.0);
         upstream.0
     };
-    assert!((0..20).all(|_| send_one(&mut stage) == 2), "the first is full");
+    assert!((0..20).all(|_| send_one(&mut stage) == 2), "server 1 is full");
     (0..90).for_each(|number| peer_report(&mut stage, 2_500.0, number));
-    assert!((0..20).all(|_| send_one(&mut stage) == 2), "what was told is older than what is known");
+    assert!((0..20).all(|_| send_one(&mut stage) == 2), "the peer's report is older than the known one");
     (0..90).for_each(|number| {
         stage.now += 100.0;
         stage.report(2, 10.0, 0.5);
         peer_report(&mut stage, 20.0, number);
     });
-    assert!((0..20).all(|_| send_one(&mut stage) == 1), "it has become idle by peers' reports alone");
+    assert!((0..20).all(|_| send_one(&mut stage) == 1), "server 1 became idle by peers' reports alone");
 }
 
 #[test]
 fn ring_without_servers_has_its_own_rejection_reason_and_fails_requests_that_may_have_run() {
     let mut stage = Stage::new(settings(), servers_in_four_zones());
     let (request, actions) = stage.arrive(ONCE);
-    let first = sent_to(&actions).expect("there is room");
+    let first = sent_to(&actions).expect("a server has capacity");
     let (keyed_request, actions) = stage.arrive(BY_ZONE);
-    let second = sent_to(&actions).expect("there is room");
+    let second = sent_to(&actions).expect("a server has capacity");
     stage.event(residency_event(&[&[], &[2]], &[Some(0), Some(1), Some(0), Some(0), None]));
     for _ in 0..50 {
         assert_eq!(rejections(&stage.arrive(REPEATABLE).1)[0].0, Reason::Residency);
         for (class, zones) in [(BY_CELL, 2..3), (BY_ALL, 0..4)] {
             let (request, actions) = stage.arrive(class);
-            let upstream = sent_to(&actions).expect("there is room");
+            let upstream = sent_to(&actions).expect("a server has capacity");
             assert!(zones.contains(&(upstream.0 / 3)));
             stage.finish(request, 0, upstream, Outcome::Ok, 0.5);
         }
         stage.now += 40.0;
     }
-    // The rule tightened while these were out.
+    // The residency rules became stricter while these requests were in flight.
     assert!(failed(&stage.finish(request, 0, first, Outcome::Reset, 1.0)));
     stage.now += 1.0;
     assert!(
         failed(&stage.finish(keyed_request, 0, second, Outcome::Error, 1.0)),
-        "its zone is out of bounds now"
+        "its zone is no longer allowed"
     );
     let (class, tenant) = (ClassId(4), TenantId(0));
     let outdated = Residency { rings: Vec::new(), classes: vec![None; 4], tenants: Vec::new() };
-    assert!(!outdated.allows(class, tenant, ZoneId(2)), "a class that its rules were not told of yet");
+    assert!(
+        !outdated.allows(class, tenant, ZoneId(2)),
+        "no zone is allowed to a class whose rules have not arrived yet"
+    );
 }
 
 #[test]
@@ -257,7 +275,7 @@
     let receives_requests = |stage: &mut Stage, id| {
         (0..100).any(|_| {
             let (request, actions) = stage.arrive(REPEATABLE);
-            let upstream = sent_to(&actions).expect("there is room");
+            let upstream = sent_to(&actions).expect("a server has capacity");
             stage.finish(request, 0, upstream, Outcome::Ok, 1.0);
             upstream.0 == id
         })
@@ -269,23 +287,23 @@
     assert!(receives_requests(&mut stage, 9));
 }
 
-/// Guards against a service that may go to few zones and finds few of their servers in the sidecar's subset.
+/// Guards against a class that may go to few zones and finds few of their servers in the sidecar's subset.
 #[test]
 fn each_ring_has_a_subset_of_its_own() {
     let servers = (0..400).map(|id| Listing { zone: ZoneId(id / 40), ..listing(id) }).collect();
     let mut stage = Stage::new(Settings { sidecars: 1_000, ..settings() }, servers);
     stage.event(residency_event(&[&[3]], &[Some(0), None, None, None, None]));
-    let mut met = |class| {
-        let mut met = BTreeSet::new();
+    let mut servers_used = |class| {
+        let mut used = BTreeSet::new();
         for _ in 0..400 {
             let (request, actions) = stage.arrive(class);
-            let upstream = sent_to(&actions).expect("there is room");
+            let upstream = sent_to(&actions).expect("a server has capacity");
             stage.finish(request, 0, upstream, Outcome::Ok, 1.0);
-            met.insert(upstream.0);
+            used.insert(upstream.0);
         }
-        met
+        used
     };
-    let (restricted, unrestricted) = (met(REPEATABLE), met(ONCE));
+    let (restricted, unrestricted) = (servers_used(REPEATABLE), servers_used(ONCE));
     assert!(restricted.iter().all(|id| id / 40 == 3));
     assert_eq!((restricted.len(), unrestricted.len()), (16, 16));
 }
--- a/crates/sagemast/tests/routes.rs
+++ b/crates/sagemast/tests/routes.rs
@@ -1,4 +1,5 @@
-//! What a route's policy does to a request, on the module alone.
+//! Route policies: limits on attempts, timeouts, backoff, retry budgets and hedged requests, tested on the
+//! decision module alone.
 
 mod common;
 
@@ -13,7 +14,8 @@
     (1..=6).map(listing).collect()
 }
 
-/// A stage whose sixth class has a policy.
+/// A stage with six servers whose sixth class, [`ROUTED`], has the given effect and policy. Two attempts of
+/// a request may be in flight at the same time.
 fn stage_with_policy(effect: Effect, policy: Policy) -> Stage {
     let mut settings = settings();
     settings.limits.duplicates = true;
@@ -21,7 +23,7 @@
     Stage::new(settings, servers())
 }
 
-/// The time-out of the first send among these actions.
+/// The timeout of the first send among these actions.
 fn first_timeout(actions: &[Action]) -> Option<Millis> {
     actions.iter().find_map(|action| match action {
         Action::Send { timeout, .. } => Some(*timeout),
@@ -29,7 +31,8 @@
     })
 }
 
-/// When the module wants to be woken for what is no call to discovery, and with which token.
+/// Time and token of the first wake-up for a request among these actions. The tokens 0 and 1 belong to no
+/// request.
 fn first_wake(actions: &[Action]) -> Option<(Millis, u64)> {
     actions.iter().find_map(|action| match action {
         Action::WakeAt { at, token } if *token > 1 => Some((*at, *token)),
@@ -37,7 +40,8 @@
     })
 }
 
-/// Sends that a request has while each of them fails so, one millisecond after it went out.
+/// Counts the attempts of one request. They end, one after the other, with the outcomes in `failures`, each
+/// 1 ms after it was sent. An attempt sent after the last of these outcomes counts as well.
 fn count_attempts(stage: &mut Stage, failures: &[Outcome]) -> usize {
     let (request, mut actions) = stage.arrive(ROUTED);
     let mut attempts = 0;
@@ -56,13 +60,14 @@
     let attempts_after = |failures: &[Outcome]| {
         count_attempts(&mut stage_with_policy(Effect::Repeatable, policy.clone()), failures)
     };
-    assert_eq!(attempts_after(&[Outcome::Error; 4]), 2, "two that may have run");
-    assert_eq!(attempts_after(&[Outcome::Unreachable; 4]), 3, "and one more where they have not");
+    assert_eq!(attempts_after(&[Outcome::Error; 4]), 2, "two attempts that may have run");
+    assert_eq!(attempts_after(&[Outcome::Unreachable; 4]), 3, "one more where the attempts did not run");
     assert_eq!(attempts_after(&[Outcome::Unreachable, Outcome::Error, Outcome::Error]), 3);
     assert_eq!(attempts_after(&[Outcome::Error, Outcome::Error, Outcome::Unreachable]), 2);
-    let once = Policy { resends: Some(2), ..Policy::default() };
-    let attempts_after =
-        |failures: &[Outcome]| count_attempts(&mut stage_with_policy(Effect::Once, once.clone()), failures);
+    let resends_only = Policy { resends: Some(2), ..Policy::default() };
+    let attempts_after = |failures: &[Outcome]| {
+        count_attempts(&mut stage_with_policy(Effect::Once, resends_only.clone()), failures)
+    };
     assert_eq!((attempts_after(&[Outcome::Unreachable; 4]), attempts_after(&[Outcome::Reset; 4])), (3, 1));
 }
 
@@ -77,7 +82,7 @@
     );
 }
 
-/// No policy, however it is written, outdoes what the effect of a class forbids.
+/// No policy, whatever it says, overrides what the effect of a class forbids.
 #[test]
 fn policy_does_not_override_the_effect_of_a_class() {
     let permissive = Policy {
@@ -91,10 +96,10 @@
     };
     let mut stage = stage_with_policy(Effect::Once, permissive);
     let (request, actions) = stage.arrive(ROUTED);
-    let upstream = sent_to(&actions).expect("it is sent");
-    let (at, token) = first_wake(&actions).expect("it asks for a copy");
+    let upstream = sent_to(&actions).expect("the request is sent");
+    let (at, token) = first_wake(&actions).expect("a hedge is scheduled");
     stage.now = at;
-    assert_eq!(sent_to(&stage.event(Event::Woke(token))), None, "it might run twice");
+    assert_eq!(sent_to(&stage.event(Event::Woke(token))), None, "the request might run twice");
     assert_eq!(sent_to(&stage.finish(request, 0, upstream, Outcome::TimedOut, 10.0)), None);
 }
 
@@ -105,14 +110,14 @@
     let mut stage = stage_with_policy(Effect::Repeatable, policy);
     let (request, actions) = stage.arrive(ROUTED);
     assert_eq!(first_timeout(&actions), Some(70.0));
-    let upstream = sent_to(&actions).expect("it is sent");
+    let upstream = sent_to(&actions).expect("the request is sent");
     stage.now += 100.0;
     let actions = stage.finish(request, 0, upstream, Outcome::Error, 100.0);
-    assert_eq!(first_timeout(&actions), Some(50.0), "what is left of the whole");
-    let upstream = sent_to(&actions).expect("it is sent");
+    assert_eq!(first_timeout(&actions), Some(50.0), "the rest of the overall timeout");
+    let upstream = sent_to(&actions).expect("the request is sent");
     stage.now += 50.0;
     let actions = stage.finish(request, 1, upstream, Outcome::TimedOut, 50.0);
-    assert!(refused(&actions), "its time is up: it is answered at once");
+    assert!(refused(&actions), "the overall timeout is over, so the client is answered at once");
 }
 
 #[test]
@@ -122,16 +127,16 @@
         stage_with_policy(Effect::Repeatable, Policy { backoff: Some(backoff), ..Policy::default() });
     let (request, mut actions) = stage.arrive(ROUTED);
     for (attempt, delay) in [(0, 10.0), (1, 25.0)] {
-        let upstream = sent_to(&actions).expect("it is sent");
+        let upstream = sent_to(&actions).expect("the request is sent");
         let after_failure = stage.finish(request, attempt, upstream, Outcome::Error, 1.0);
-        assert_eq!(sent_to(&after_failure), None, "not before the pause is over");
-        let (at, token) = first_wake(&after_failure).expect("a pause");
+        assert_eq!(sent_to(&after_failure), None, "no retry before the backoff is over");
+        let (at, token) = first_wake(&after_failure).expect("a backoff");
         assert_eq!(at, stage.now + delay);
         stage.now = at;
         actions = stage.event(Event::Woke(token));
     }
-    // A pause that outlasts what an answer is worth anything for is no pause but the end, and that at once.
-    let upstream = sent_to(&actions).expect("it is sent");
+    // If an answer would have no value left after the backoff, the request ends at once instead of waiting.
+    let upstream = sent_to(&actions).expect("the request is sent");
     stage.now += 150.0;
     let after_failure = stage.finish(request, 2, upstream, Outcome::Error, 1.0);
     assert!(refused(&after_failure) && first_wake(&after_failure).is_none(), "{after_failure:?}");
@@ -143,8 +148,9 @@
     let mut stage =
         stage_with_policy(Effect::Repeatable, Policy { backoff: Some(backoff), ..Policy::default() });
     let (request, actions) = stage.arrive(ROUTED);
-    let upstream = sent_to(&actions).expect("it is sent");
-    let (at, token) = first_wake(&stage.finish(request, 0, upstream, Outcome::Error, 1.0)).expect("a pause");
+    let upstream = sent_to(&actions).expect("the request is sent");
+    let (at, token) =
+        first_wake(&stage.finish(request, 0, upstream, Outcome::Error, 1.0)).expect("a backoff");
     stage.event(Event::Abandoned(request));
     stage.now = at;
     assert_eq!(stage.event(Event::Woke(token)), vec![]);
@@ -158,11 +164,12 @@
     let mut retries = 0;
     for _ in 0..40 {
         stage.now += 50.0;
-        // Being turned away unseen tells nothing against a server, and is forgotten soon.
+        // `Outcome::Full` is no failure of the server, and its effect on the server expires soon.
         retries += count_attempts(&mut stage, &[Outcome::Full, Outcome::Ok]) - 1;
         stage.now += 10_000.0;
     }
-    // Two saved up, and one for each four first sends, as far as there was room to save.
+    // Two retries are saved up, and every four first attempts earn one more while the budget is below its
+    // burst.
     assert!((10..=12).contains(&retries), "{retries} retries");
 }
 
@@ -175,14 +182,14 @@
 fn hedge_uses_another_server_and_its_answer_ends_the_request() {
     let mut stage = stage_with_policy(Effect::Repeatable, hedging_policy(CopyAfter::Fixed(Span(30.0)), 5));
     let (request, actions) = stage.arrive(ROUTED);
-    let first = sent_to(&actions).expect("it is sent");
-    let (at, token) = first_wake(&actions).expect("a copy is planned");
+    let first = sent_to(&actions).expect("the request is sent");
+    let (at, token) = first_wake(&actions).expect("a hedge is scheduled");
     assert_eq!(at, stage.now + 30.0);
     stage.now = at;
-    let second = sent_to(&stage.event(Event::Woke(token))).expect("the copy");
+    let second = sent_to(&stage.event(Event::Woke(token))).expect("the hedge is sent");
     assert_ne!(first, second);
-    assert_eq!(sent_to(&stage.event(Event::Woke(token))), None, "there is one copy");
-    // The first fails: its copy is awaited.
+    assert_eq!(sent_to(&stage.event(Event::Woke(token))), None, "a request has at most one hedge");
+    // The first attempt fails, and the request waits for the answer to its hedge.
     stage.now += 5.0;
     let actions = stage.finish(request, 0, first, Outcome::Error, 35.0);
     assert!(sent_to(&actions).is_none() && !refused(&actions) && !failed(&actions), "{actions:?}");
@@ -194,9 +201,9 @@
 fn slower_of_two_attempts_is_cancelled() {
     let mut stage = stage_with_policy(Effect::Repeatable, hedging_policy(CopyAfter::Fixed(Span(30.0)), 5));
     let (request, actions) = stage.arrive(ROUTED);
-    let (at, token) = first_wake(&actions).expect("a copy is planned");
+    let (at, token) = first_wake(&actions).expect("a hedge is scheduled");
     stage.now = at;
-    let second = sent_to(&stage.event(Event::Woke(token))).expect("the copy");
+    let second = sent_to(&stage.event(Event::Woke(token))).expect("the hedge is sent");
     let actions = stage.finish(request, 1, second, Outcome::Ok, 10.0);
     assert!(actions.contains(&Action::Cancel { request, attempt: AttemptNo(0) }), "{actions:?}");
 }
@@ -207,8 +214,8 @@
     let mut hedges = 0;
     for _ in 0..20 {
         let (request, actions) = stage.arrive(ROUTED);
-        let first = sent_to(&actions).expect("it is sent");
-        let (at, token) = first_wake(&actions).expect("a copy is planned");
+        let first = sent_to(&actions).expect("the request is sent");
+        let (at, token) = first_wake(&actions).expect("a hedge is scheduled");
         stage.now = at;
         if let Some(second) = sent_to(&stage.event(Event::Woke(token))) {
             hedges += 1;
@@ -217,23 +224,23 @@
         stage.finish(request, 0, first, Outcome::Ok, 40.0);
         stage.now += 10.0;
     }
-    assert_eq!(hedges, 3, "two at once and one of ten");
+    assert_eq!(hedges, 3, "two saved up, and one earned at a rate of one in ten requests");
 }
 
 #[test]
 fn hedge_delay_percentile_is_estimated_from_answers() {
     let mut stage = stage_with_policy(Effect::Repeatable, hedging_policy(CopyAfter::Percentile(90.0), 5));
     let mut delay = 0.0;
-    // Nine of ten answers take 20 to 29 ms, the tenth 100.
+    // Nine of ten answers take 20 to 29 ms, the tenth takes 100 ms.
     for number in 0..4_000 {
         let (request, actions) = stage.arrive(ROUTED);
-        let upstream = sent_to(&actions).expect("it is sent");
-        delay = first_wake(&actions).expect("a copy is planned").0 - stage.now;
+        let upstream = sent_to(&actions).expect("the request is sent");
+        delay = first_wake(&actions).expect("a hedge is scheduled").0 - stage.now;
         let latency = if number % 10 == 9 { 100.0 } else { 20.0 + f64::from(number * 7 % 10) };
         stage.now += latency;
         stage.finish(request, 0, upstream, Outcome::Ok, latency);
     }
-    assert!((28.0..60.0).contains(&delay), "the 90th percentile is at 29, and is taken for {delay:.0}");
+    assert!((28.0..60.0).contains(&delay), "the 90th percentile is 29 ms, and the estimate is {delay:.0} ms");
 }
 
 #[test]
@@ -247,7 +254,8 @@
     assert_eq!(first_wake(&actions), None);
 }
 
-/// The policy that the sixth class has from now on, in a place of its own, as the sidecar lays it.
+/// Replaces the policy of [`ROUTED`] in the way the sidecar does: the new policy gets a class of its own,
+/// which takes over the estimates and the remaining budgets. Returns the id of the new class.
 fn replace_policy(stage: &mut Stage, policy: Policy) -> ClassId {
     let id = ClassId(stage.balancer.classes().len());
     stage.balancer.put_class(id, Class { policy, ..class(Effect::Repeatable) }, ROUTED);
@@ -259,19 +267,19 @@
     let attempts = |attempts| Policy { attempts: Some(attempts), ..Policy::default() };
     let mut stage = stage_with_policy(Effect::Repeatable, attempts(3));
     let (request, actions) = stage.arrive(ROUTED);
-    let upstream = sent_to(&actions).expect("it is sent");
+    let upstream = sent_to(&actions).expect("the request is sent");
     assert!(stage.balancer.uses(ROUTED));
     let new_class = replace_policy(&mut stage, attempts(1));
     let after_failure = stage.finish(request, 0, upstream, Outcome::Error, 1.0);
-    let upstream = sent_to(&after_failure).expect("it has attempts left by what it began with");
+    let upstream = sent_to(&after_failure).expect("the policy it started with leaves it attempts");
     stage.finish(request, 1, upstream, Outcome::Ok, 1.0);
     assert!(!stage.balancer.uses(ROUTED) && !stage.balancer.uses(new_class));
     let (request, actions) = stage.arrive(new_class);
-    let upstream = sent_to(&actions).expect("it is sent");
+    let upstream = sent_to(&actions).expect("the request is sent");
     assert_eq!(
         sent_to(&stage.finish(request, 0, upstream, Outcome::Error, 1.0)),
         None,
-        "by the new one there are none"
+        "the new policy permits no retry"
     );
 }
 
@@ -290,13 +298,14 @@
     for _ in 0..4 {
         stage.now += 10_000.0;
         let (request, actions) = stage.arrive(new_class);
-        let upstream = sent_to(&actions).expect("it is sent");
+        let upstream = sent_to(&actions).expect("the request is sent");
         retries += usize::from(sent_to(&stage.finish(request, 0, upstream, Outcome::Full, 1.0)).is_some());
     }
-    assert_eq!(retries, 1, "one of three was left");
+    assert_eq!(retries, 1, "one retry of three was left");
 }
 
-/// A server that hangs has nothing out once its sends are cancelled, and must not look idle for it.
+/// A hung server has nothing in flight once its attempts are cancelled, and must not look idle for that
+/// reason.
 #[test]
 fn cancelled_attempt_counts_as_slowness() {
     let mut stage = stage_with_policy(Effect::Repeatable, hedging_policy(CopyAfter::Fixed(Span(40.0)), 50));
@@ -305,16 +314,16 @@
     for _ in 0..600 {
         stage.now += 5.0;
         let (request, actions) = stage.arrive(ROUTED);
-        let first = sent_to(&actions).expect("it is sent");
+        let first = sent_to(&actions).expect("the request is sent");
         if first != hung {
             stage.now += 10.0;
             stage.finish(request, 0, first, Outcome::Ok, 10.0);
             continue;
         }
         sends_to_hung += 1;
-        let (at, token) = first_wake(&actions).expect("a copy is planned");
+        let (at, token) = first_wake(&actions).expect("a hedge is scheduled");
         stage.now = at;
-        let second = sent_to(&stage.event(Event::Woke(token))).expect("the copy");
+        let second = sent_to(&stage.event(Event::Woke(token))).expect("the hedge is sent");
         stage.now += 10.0;
         stage.finish(request, 1, second, Outcome::Ok, 10.0);
         let cancelled = Finished {
@@ -328,5 +337,8 @@
         };
         stage.event(Event::Finished(cancelled));
     }
-    assert!(sends_to_hung < 60, "{sends_to_hung} of 600 went there; by chance alone a hundred would");
+    assert!(
+        sends_to_hung < 60,
+        "{sends_to_hung} of 600 went to the hung server; by chance alone a hundred would"
+    );
 }
--- a/crates/sagemast/tests/scale.rs
+++ b/crates/sagemast/tests/scale.rs
@@ -1,4 +1,4 @@
-//! Large fleets, lists that turn over, and the way out of a jam.
+//! Large fleets, server lists that change quickly, and recovery from overload.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use common::*;
 use sagemast::api::*;
 
-/// Sends one request and answers it in 20 ms; where it went.
+/// Sends one request and answers it after 20 ms. Returns the server it was sent to.
 fn send_and_answer(stage: &mut Stage) -> Option<UpstreamId> {
     let (request, actions) = stage.arrive(REPEATABLE);
     let upstream = sent_to(&actions)?;
@@ -16,36 +16,38 @@
     Some(upstream)
 }
 
-/// Guards against draws among those that do not serve: three of ten thousand must be found each time.
+/// Guards against drawing servers that do not serve. The three of ten thousand that serve must be found for
+/// every request.
 #[test]
 fn three_ready_servers_of_ten_thousand_receive_all_requests() {
     let lifecycle = |id: u64| if id % 3_000 == 1_234 { Lifecycle::Serving } else { Lifecycle::Leaving };
     let servers = (0..10_000).map(|id| Listing { lifecycle: lifecycle(id), ..listing(id) }).collect();
     let mut stage = Stage::new(settings(), servers);
     let used: BTreeSet<u64> =
-        (0..300).map(|_| send_and_answer(&mut stage).expect("there is room").0).collect();
+        (0..300).map(|_| send_and_answer(&mut stage).expect("a server has capacity").0).collect();
     assert_eq!(used, BTreeSet::from([1_234, 4_234, 7_234]));
 }
 
-/// Guards against servers that linger: after a whole list that names none of the old ones, none of them is sent
-/// anything, and what they still answer does no harm.
+/// Guards against servers that remain after they are no longer listed. After a complete list that names
+/// none of the earlier servers, none of those receives a request, and what they still answer does no harm.
 #[test]
 fn complete_list_replaces_all_earlier_servers() {
     let mut stage = Stage::new(settings(), (0..50).map(listing).collect());
     let earlier: Vec<_> = (0..20).map(|_| stage.arrive(REPEATABLE)).collect();
     stage.event(Event::Listed(ListNews::Complete((100..150).map(listing).collect())));
     for _ in 0..200 {
-        assert!(send_and_answer(&mut stage).expect("there is room").0 >= 100);
+        assert!(send_and_answer(&mut stage).expect("a server has capacity").0 >= 100);
     }
     for (request, actions) in earlier {
-        let upstream = sent_to(&actions).expect("there was room");
+        let upstream = sent_to(&actions).expect("a server had capacity");
         assert!(upstream.0 < 50);
         let actions = stage.finish(request, 0, upstream, Outcome::Unreachable, 30.0);
         assert!(sent_to(&actions).is_none_or(|upstream| upstream.0 >= 100), "{actions:?}");
     }
 }
 
-/// Guards against sets that fall behind the list: a hundred joins and leaves a second, for thirty seconds.
+/// Guards against selection from an outdated set of servers: for thirty seconds, a hundred servers join or
+/// leave every second.
 #[test]
 fn joins_and_leaves_take_effect_immediately() {
     let mut stage = Stage::new(settings(), (0..10).map(listing).collect());
@@ -62,14 +64,14 @@
             serving.remove(&id)
         };
         let (request, actions) = stage.arrive(REPEATABLE);
-        let upstream = sent_to(&actions).expect("there is room");
+        let upstream = sent_to(&actions).expect("a server has capacity");
         assert!(serving.contains(&upstream.0), "{upstream:?} at round {round}");
         stage.finish(request, 0, upstream, Outcome::Ok, 5.0);
     }
 }
 
-/// Guards against a bad state that the load does not explain: for ten seconds every server turns away or answers late,
-/// and ten seconds after it has ended all is served again.
+/// Guards against an overload that outlasts its cause. For ten seconds every server answers `Full` or late.
+/// Ten seconds after that has ended, all requests are served again.
 #[test]
 fn service_recovers_within_seconds_after_an_overload() {
     let ids: Vec<u64> = (1..=9).collect();
@@ -94,24 +96,25 @@
                 stage.finish(request, attempt, upstream, outcome, if overloaded { 400.0 } else { 30.0 });
             attempt += 1;
         }
-        // The first second after the jam, its reports are still believed.
+        // After the overload only the tenth second counts, since at first the module still relies on
+        // reports from the overload.
         let counted = period < 2 || round >= 2_900;
         rejections[period] += usize::from(counted && refused(&actions));
     }
     assert_eq!(rejections[0], 0, "before: {rejections:?}");
-    assert!(rejections[1] > 100, "in the jam: {rejections:?}");
+    assert!(rejections[1] > 100, "during the overload: {rejections:?}");
     assert_eq!(rejections[2], 0, "from nine seconds after it on: {rejections:?}");
 }
 
-/// Guards against a limit filled by what will never be answered: where one request in five hangs, while its server
-/// answers the others, those that hang must not keep the others out.
+/// Guards against a limit used up by attempts that are never answered. Where one request in five hangs
+/// while its server answers the others, the hung requests must not keep the others out.
 #[test]
 fn hung_attempts_use_no_capacity_of_a_server_that_answers() {
     let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
     stage.settle(&[1, 2], 1.0, 0.25);
     for round in 0..200 {
         let (request, actions) = stage.arrive(REPEATABLE);
-        let upstream = sent_to(&actions).expect("there is room");
+        let upstream = sent_to(&actions).expect("a server has capacity");
         stage.now += 20.0;
         if round % 5 > 0 {
             stage.finish(request, 0, upstream, Outcome::Ok, 20.0);
@@ -120,8 +123,8 @@
     }
 }
 
-/// Guards against every sidecar of a large fleet asking its pair at every request: together they asked servers for
-/// many times the reports that these give out, and paid for each.
+/// Guards against every sidecar of a large fleet polling its drawn pair for each request. Together they
+/// polled many times more often than servers renew their reports, and paid for each poll.
 #[test]
 fn load_polls_are_limited_by_their_cost_per_arrival() {
     let polls_with_repeats = |fee: f64, repeats: u32| {
@@ -140,18 +143,19 @@
     };
     let polls_for = |fee| polls_with_repeats(fee, 0);
     let repeated = polls_with_repeats(0.08, 3);
-    assert!((90..=100).contains(&repeated), "clients that come again three times pay no more: {repeated}");
+    assert!((90..=100).contains(&repeated), "three retries by each client pay for no more polls: {repeated}");
     assert!(
         (90..=100).contains(&polls_for(0.08)),
-        "a quarter of a probe for each arrival: {}",
+        "each arrival pays for a quarter of a poll: {}",
         polls_for(0.08)
     );
-    assert!(polls_for(0.0) > 500, "where probes cost nothing, each pair is asked: {}", polls_for(0.0));
-    assert!(polls_for(0.0094) > 500, "two for each arrival are paid for here: {}", polls_for(0.0094));
+    assert!(polls_for(0.0) > 500, "each pair is polled where polls cost nothing: {}", polls_for(0.0));
+    assert!(polls_for(0.0094) > 500, "here each arrival pays for two polls: {}", polls_for(0.0094));
 }
 
-/// Guards against a jam that lasts in the books: a sidecar of a large fleet hears a report a second or so, and by their
-/// count the mean of what servers hold went back over a minute. Until then all sidecars refused what there was room for.
+/// Guards against an overload that lasts only in the statistics. A sidecar of a large fleet receives about
+/// one report a second. The mean of what servers have in flight once decayed per report rather than over
+/// time, which took a minute. Until then all sidecars rejected requests that servers had capacity for.
 #[test]
 fn sparse_reports_end_an_overload_quickly() {
     let servers = (0..200).map(|id| Listing { weight: 3.0, ..listing(id) }).collect();
@@ -164,7 +168,7 @@
         stage.now += 2_000.0;
         let rejections = (0..50).filter(|_| {
             let (request, actions) = stage.arrive(ONCE);
-            // What was sent is over before the next comes.
+            // Each attempt ends before the next request arrives.
             if let Some(upstream) = sent_to(&actions) {
                 stage.finish(request, 0, upstream, Outcome::Cancelled, 1.0);
             }
@@ -172,13 +176,13 @@
         });
         rejections.count()
     };
-    assert!(rejections(&mut stage, 20.0, 20) > 45, "servers hold far more than they work on");
+    assert!(rejections(&mut stage, 20.0, 20) > 45, "servers have far more in flight than they work on");
     stage.now += 1_000.0;
-    assert!(rejections(&mut stage, 0.0, 10) < 5, "and now next to nothing");
+    assert!(rejections(&mut stage, 0.0, 10) < 5, "servers now have next to nothing in flight");
 }
 
-/// Guards against dropping what a server told a moment ago: where a sidecar hears of each server every few seconds, one
-/// that had a long queue 1.5 s ago looked like any other, and was sent as much.
+/// Guards against discarding a recent report. Where a sidecar receives a report of each server every few
+/// seconds, a server that had a long queue 1.5 s ago looked like any other, and was sent as many requests.
 #[test]
 fn recently_reported_queue_is_still_avoided() {
     let mut stage = Stage::new(settings(), (0..10).map(listing).collect());
@@ -187,9 +191,9 @@
     stage.now += 1_500.0;
     let sends = (0..200).filter(|_| {
         let (request, actions) = stage.arrive(ONCE);
-        let upstream = sent_to(&actions).expect("nine servers have nothing to do");
+        let upstream = sent_to(&actions).expect("nine servers are idle");
         stage.finish(request, 0, upstream, Outcome::Cancelled, 1.0);
         upstream == UpstreamId(0)
     });
-    assert_eq!(sends.count(), 0, "it had a queue 1.5 s ago, and of most others nothing is known");
+    assert_eq!(sends.count(), 0, "it had a queue 1.5 s ago, and nothing is known of most other servers");
 }
