--- a/crates/sagemast/tests/guided.rs
+++ b/crates/sagemast/tests/guided.rs
@@ -1,4 +1,5 @@
-//! What a fleet tells the module, and what the module then does.
+//! How the module applies what it receives from the cluster: guidance, results of ejection probes, load
+//! reports of peers, and residency rules.
 
 mod common;
 
@@ -7,31 +8,33 @@
 use common::*;
 use sagemast::api::*;
 
-fn guided(stage: &mut Harness, guidance: Guidance) {
+fn apply_guidance(stage: &mut Harness, guidance: Guidance) {
     stage.handle(Event::Guided(Box::new(guidance)));
 }
 
-fn ids(of: &[u64]) -> Option<BTreeSet<UpstreamId>> {
-    Some(of.iter().map(|id| UpstreamId(*id)).collect())
+fn upstream_ids(ids: &[u64]) -> Option<BTreeSet<UpstreamId>> {
+    Some(ids.iter().map(|id| UpstreamId(*id)).collect())
 }
 
-fn probes(actions: &[Action]) -> Vec<u64> {
-    let probe = |action: &Action| match action {
+fn polled_servers(actions: &[Action]) -> Vec<u64> {
+    let polled_server = |action: &Action| match action {
         Action::PollLoad(id) => Some(id.0),
         _ => None,
     };
-    actions.iter().filter_map(probe).collect()
+    actions.iter().filter_map(polled_server).collect()
 }
 
-fn refusals(actions: &[Action]) -> Vec<(Reason, Millis)> {
-    let refusal = |action: &Action| match action {
+/// Reason and Retry-After of each rejection among these actions.
+fn rejections(actions: &[Action]) -> Vec<(Reason, Millis)> {
+    let rejection = |action: &Action| match action {
         Action::Refuse { reason, retry_after, .. } => Some((*reason, *retry_after)),
         _ => None,
     };
-    actions.iter().filter_map(refusal).collect()
+    actions.iter().filter_map(rejection).collect()
 }
 
-fn within(zones: &[&[u64]], classes: &[Option<usize>]) -> Event {
+/// Residency rules: `zones` holds the zones of each ring, and `classes` the ring of each class, by index.
+fn residency_event(zones: &[&[u64]], classes: &[Option<usize>]) -> Event {
     let ring = |zones: &&[u64]| zones.iter().map(|zone| ZoneId(*zone)).collect();
     Event::ResidencyChanged(Residency {
         zone_sets: zones.iter().map(ring).collect(),
@@ -40,16 +43,16 @@
     })
 }
 
-/// Twelve servers, a zone for every three.
-fn zones() -> Vec<Listing> {
+/// Twelve servers in four zones, three in each.
+fn servers_in_four_zones() -> Vec<Listing> {
     (0..12).map(|id| Listing { zone: ZoneId(id / 3), cell: CellId(id / 3), ..listing(id) }).collect()
 }
 
 #[test]
-fn what_the_fleet_sheds_is_refused_before_any_send_and_asked_back_within_its_slice() {
-    let mut stage = Harness::new(settings(), zones());
+fn shed_request_is_rejected_with_retry_after_in_the_assigned_range() {
+    let mut stage = Harness::new(settings(), servers_in_four_zones());
     let admit = vec![0.25, 1.0, 1.0, 1.0, 1.0];
-    guided(
+    apply_guidance(
         &mut stage,
         Guidance { admit_probability: admit, retry_after_slice: Some([0.5, 0.75]), ..Guidance::default() },
     );
@@ -57,65 +60,77 @@
     for _ in 0..2_000 {
         stage.now += 1.0;
         let (request, actions) = stage.arrive(IDEMPOTENT);
-        if let [(reason, after)] = refusals(&actions)[..] {
+        if let [(reason, retry_after)] = rejections(&actions)[..] {
             assert_eq!((reason, sent_to(&actions)), (Reason::Shed, None));
-            // Three tenths of an aim of 200 ms, and of that the slice.
-            assert!((30.0..=45.0).contains(&after), "{after}");
+            // Retry-After lies within three tenths of the latency objective of 200 ms. Of that span the
+            // guidance assigns the part from 0.5 to 0.75.
+            assert!((30.0..=45.0).contains(&retry_after), "{retry_after}");
             shed += 1;
         } else {
-            let upstream = sent_to(&actions).expect("there is room");
+            let upstream = sent_to(&actions).expect("a server has capacity");
             stage.finish_attempt(request, 0, upstream, Outcome::Ok, 0.5);
         }
         let (request, actions) = stage.arrive(NON_IDEMPOTENT);
-        let upstream = sent_to(&actions).expect("another class is let in");
+        let upstream = sent_to(&actions).expect("another class is admitted");
         stage.finish_attempt(request, 0, upstream, Outcome::Ok, 0.5);
     }
-    assert!((1_400..1_600).contains(&shed), "{shed} of 2000, where three quarters should be");
-    guided(&mut stage, Guidance::default());
+    assert!((1_400..1_600).contains(&shed), "{shed} of 2000 requests shed, where three quarters should be");
+    apply_guidance(&mut stage, Guidance::default());
     assert!(sent_to(&stage.arrive(IDEMPOTENT).1).is_some());
 }
 
 #[test]
-fn only_duties_are_asked_for_their_load_and_all_of_them_in_time() {
-    let mut stage = Harness::new(settings(), zones());
-    guided(&mut stage, Guidance { load_poll_targets: ids(&[2, 5, 11]), ..Guidance::default() });
-    let mut asked = Vec::new();
+fn only_assigned_servers_are_polled_and_each_of_them_in_time() {
+    let mut stage = Harness::new(settings(), servers_in_four_zones());
+    apply_guidance(
+        &mut stage,
+        Guidance { load_poll_targets: upstream_ids(&[2, 5, 11]), ..Guidance::default() },
+    );
+    let mut polled = Vec::new();
     for _ in 0..100 {
         stage.now += 10.0;
-        for id in probes(&stage.arrive(IDEMPOTENT).1) {
-            asked.push(id);
+        for id in polled_servers(&stage.arrive(IDEMPOTENT).1) {
+            polled.push(id);
             stage.report_load(id, 1.0, 0.3);
         }
     }
-    let each: Vec<usize> = [2, 5, 11].map(|id| asked.iter().filter(|a| **a == id).count()).to_vec();
-    assert_eq!(each.iter().sum::<usize>(), asked.len(), "{asked:?}");
-    assert!(each.iter().all(|count| (3..=4).contains(count)), "once in 300 ms over a second: {each:?}");
+    let counts: Vec<usize> =
+        [2, 5, 11].map(|id| polled.iter().filter(|polled_id| **polled_id == id).count()).to_vec();
+    assert_eq!(counts.iter().sum::<usize>(), polled.len(), "{polled:?}");
+    assert!(
+        counts.iter().all(|count| (3..=4).contains(count)),
+        "one poll every 300 ms for a second: {counts:?}"
+    );
 }
 
 #[test]
-fn further_sends_go_by_the_fleets_budget() {
-    let mut stage = Harness::new(settings(), zones());
+fn cluster_retry_budget_replaces_the_configured_one() {
+    let mut stage = Harness::new(settings(), servers_in_four_zones());
     let retried = |stage: &mut Harness| {
         let (request, actions) = stage.arrive(IDEMPOTENT);
-        let upstream = sent_to(&actions).expect("there is room");
+        let upstream = sent_to(&actions).expect("a server has capacity");
         sent_to(&stage.finish_attempt(request, 0, upstream, Outcome::Full, 0.5)).is_some()
     };
     assert!(retried(&mut stage));
-    guided(
+    apply_guidance(
         &mut stage,
         Guidance { retry_budget: Some(Allowance { share: 0.5, burst: 1 }), ..Guidance::default() },
     );
-    let spent: Vec<bool> = (0..4)
+    let retries: Vec<bool> = (0..4)
         .map(|_| {
             stage.now += 2_000.0;
             retried(&mut stage)
         })
         .collect();
-    assert_eq!(spent, [true, false, true, false], "one saved up, and half of one for each first send");
+    assert_eq!(
+        retries,
+        [true, false, true, false],
+        "one retry is saved up, and each first attempt earns half of one"
+    );
 }
 
 #[test]
-fn an_ejected_server_is_tried_by_whom_the_fleet_chose_and_back_for_all() {
+fn ejected_server_is_probed_by_the_chosen_sidecar_and_returns_for_all() {
     let mut stage = Harness::new(settings(), (0..4).map(listing).collect());
     let eject = |stage: &mut Harness| {
         for _ in 0..200 {
@@ -123,71 +138,78 @@
             let (request, actions) = stage.arrive(NON_IDEMPOTENT);
             let Some(upstream) = sent_to(&actions) else { continue };
             let outcome = if upstream.0 == 3 { Outcome::Reset } else { Outcome::Ok };
-            let log = stage.finish_attempt(request, 0, upstream, outcome, 1.0);
-            if log.iter().any(
+            let actions = stage.finish_attempt(request, 0, upstream, outcome, 1.0);
+            if actions.iter().any(
                 |action| matches ! ( action , Action :: Log { text , .. } if text . contains ( "ejected" ) ),
             ) {
                 return;
             }
         }
-        panic!("it is ejected");
+        panic!("the server was not ejected");
     };
-    let meets = |stage: &mut Harness| {
+    let receives_requests = |stage: &mut Harness| {
         (0..60).any(|_| {
             stage.now += 5.0;
             let (request, actions) = stage.arrive(NON_IDEMPOTENT);
-            let upstream = sent_to(&actions).expect("there is room");
+            let upstream = sent_to(&actions).expect("a server has capacity");
             stage.finish_attempt(request, 0, upstream, Outcome::Ok, 1.0);
             upstream.0 == 3
         })
     };
     eject(&mut stage);
     stage.now += 5_000.0;
-    guided(&mut stage, Guidance { ejection_probe_targets: ids(&[]), ..Guidance::default() });
-    assert!(!meets(&mut stage), "its trial is another's");
+    apply_guidance(&mut stage, Guidance { ejection_probe_targets: upstream_ids(&[]), ..Guidance::default() });
+    assert!(!receives_requests(&mut stage), "another sidecar sends the ejection probes");
     stage.handle(Event::EjectionProbeEnded { upstream: UpstreamId(3), recovered: false });
-    guided(&mut stage, Guidance { ejection_probe_targets: ids(&[3]), ..Guidance::default() });
-    assert!(!meets(&mut stage), "left alone after another's trial failed");
-    guided(&mut stage, Guidance { ejection_probe_targets: ids(&[]), ..Guidance::default() });
+    apply_guidance(
+        &mut stage,
+        Guidance { ejection_probe_targets: upstream_ids(&[3]), ..Guidance::default() },
+    );
+    assert!(!receives_requests(&mut stage), "still ejected after another sidecar's probe failed");
+    apply_guidance(&mut stage, Guidance { ejection_probe_targets: upstream_ids(&[]), ..Guidance::default() });
     stage.handle(Event::EjectionProbeEnded { upstream: UpstreamId(3), recovered: true });
-    assert!(meets(&mut stage), "back after another's trial");
+    assert!(receives_requests(&mut stage), "back after another sidecar's probe succeeded");
 }
 
 #[test]
-fn a_cold_server_gets_what_was_leased_and_no_more() {
-    let cold = |id| Listing { started: Some(1_000.0), ..listing(id) };
-    let mut stage = Harness::new(settings(), vec![listing(1), cold(2), cold(3)]);
-    let sent = |stage: &mut Harness| {
-        let mut sent = [0; 4];
+fn server_in_slow_start_receives_only_leased_requests() {
+    let in_slow_start = |id| Listing { started: Some(1_000.0), ..listing(id) };
+    let mut stage = Harness::new(settings(), vec![listing(1), in_slow_start(2), in_slow_start(3)]);
+    let send_requests = |stage: &mut Harness| {
+        let mut sends = [0; 4];
         for _ in 0..400 {
             let (request, actions) = stage.arrive(IDEMPOTENT);
             let Some(upstream) = sent_to(&actions) else { continue };
-            sent[upstream.0 as usize] += 1;
+            sends[upstream.0 as usize] += 1;
             stage.finish_attempt(request, 0, upstream, Outcome::Ok, 1.0);
         }
-        sent
+        sends
     };
     let lease = |requests, until| {
-        let cold = [(UpstreamId(2), SlowStartLease { requests, until })].into_iter().collect();
-        Guidance { slow_start_leases: Some(cold), ..Guidance::default() }
+        let leases = [(UpstreamId(2), SlowStartLease { requests, until })].into_iter().collect();
+        Guidance { slow_start_leases: Some(leases), ..Guidance::default() }
     };
-    guided(&mut stage, lease(7, 2_000.0));
-    assert_eq!(sent(&mut stage)[2..], [7, 0], "what is leased, and nothing of whom the fleet did not name");
-    guided(&mut stage, lease(7, 2_000.0));
-    assert_eq!(sent(&mut stage)[2..], [0, 0], "the same lease told again");
-    let text = serde_json::to_string(&stage.balancer).expect("a checkpoint");
-    let kept: sagemast::Balancer = serde_json::from_str(&text).expect("what it wrote");
-    stage.balancer = kept.resume(settings()).expect("the same settings");
-    assert_eq!(sent(&mut stage)[2..], [0, 0], "what was sent of it, in a checkpoint");
-    guided(&mut stage, lease(5, 2_100.0));
-    assert_eq!(sent(&mut stage)[2..], [5, 0]);
-    guided(&mut stage, lease(9, 2_200.0));
+    apply_guidance(&mut stage, lease(7, 2_000.0));
+    assert_eq!(
+        send_requests(&mut stage)[2..],
+        [7, 0],
+        "the leased requests, and none for a server that the guidance does not name"
+    );
+    apply_guidance(&mut stage, lease(7, 2_000.0));
+    assert_eq!(send_requests(&mut stage)[2..], [0, 0], "the same lease received again");
+    let text = serde_json::to_string(&stage.balancer).expect("a serialized checkpoint");
+    let restored: sagemast::Balancer = serde_json::from_str(&text).expect("a readable checkpoint");
+    stage.balancer = restored.resume(settings()).expect("the same settings");
+    assert_eq!(send_requests(&mut stage)[2..], [0, 0], "the checkpoint keeps how much of the lease is used");
+    apply_guidance(&mut stage, lease(5, 2_100.0));
+    assert_eq!(send_requests(&mut stage)[2..], [5, 0]);
+    apply_guidance(&mut stage, lease(9, 2_200.0));
     stage.now = 2_200.0;
-    assert_eq!(sent(&mut stage)[2..], [0, 0], "it is over");
+    assert_eq!(send_requests(&mut stage)[2..], [0, 0], "the lease has expired");
 }
 
 #[test]
-fn a_peers_report_counts_by_its_age_and_never_against_a_newer_one() {
+fn peer_report_counts_by_its_age_and_never_replaces_a_newer_one() {
     let mut stage = Harness::new(settings(), vec![listing(1), listing(2)]);
     stage.report_steady_load(&[1, 2], 1.0, 0.5);
     for _ in 0..40 {
@@ -195,7 +217,7 @@
         stage.report_load(1, 60.0, 0.5);
         stage.report_load(2, 1.0, 0.5);
     }
-    let told = |stage: &mut Harness, age, number| {
+    let peer_report = |stage: &mut Harness, age, number| {
         let report = LoadReport {
             in_flight: Some(0.0),
             utilisation: Some(0.1),
@@ -204,89 +226,92 @@
         };
         stage.handle(Event::Reported { upstream: UpstreamId(1), report, age });
     };
-    let sent = |stage: &mut Harness| {
+    let send_one = |stage: &mut Harness| {
         let (request, actions) = stage.arrive(IDEMPOTENT);
-        let upstream = sent_to(&actions).expect("one has room");
+        let upstream = sent_to(&actions).expect("a server has capacity");
         stage.finish_attempt(request, 0, upstream, Outcome::Ok, 1.0);
         upstream.0
     };
-    assert!((0..20).all(|_| sent(&mut stage) == 2), "the first is full");
-    (0..90).for_each(|number| told(&mut stage, 2_500.0, number));
-    assert!((0..20).all(|_| sent(&mut stage) == 2), "what was told is older than what is known");
+    assert!((0..20).all(|_| send_one(&mut stage) == 2), "server 1 is full");
+    (0..90).for_each(|number| peer_report(&mut stage, 2_500.0, number));
+    assert!((0..20).all(|_| send_one(&mut stage) == 2), "the peer's report is older than the known one");
     (0..90).for_each(|number| {
         stage.now += 100.0;
         stage.report_load(2, 10.0, 0.5);
-        told(&mut stage, 20.0, number);
+        peer_report(&mut stage, 20.0, number);
     });
-    assert!((0..20).all(|_| sent(&mut stage) == 1), "it has become idle by peers' reports alone");
+    assert!((0..20).all(|_| send_one(&mut stage) == 1), "server 1 became idle by peers' reports alone");
 }
 
 #[test]
-fn nobody_in_its_ring_is_a_refusal_of_its_own_kind_and_what_may_have_run_fails() {
-    let mut stage = Harness::new(settings(), zones());
+fn ring_without_servers_has_its_own_rejection_reason_and_fails_requests_that_may_have_run() {
+    let mut stage = Harness::new(settings(), servers_in_four_zones());
     let (request, actions) = stage.arrive(NON_IDEMPOTENT);
-    let first = sent_to(&actions).expect("there is room");
-    let (keyed, actions) = stage.arrive(ZONE_KEYED);
-    let second = sent_to(&actions).expect("there is room");
-    stage.handle(within(&[&[], &[2]], &[Some(0), Some(1), Some(0), Some(0), None]));
+    let first = sent_to(&actions).expect("a server has capacity");
+    let (keyed_request, actions) = stage.arrive(ZONE_KEYED);
+    let second = sent_to(&actions).expect("a server has capacity");
+    stage.handle(residency_event(&[&[], &[2]], &[Some(0), Some(1), Some(0), Some(0), None]));
     for _ in 0..50 {
-        assert_eq!(refusals(&stage.arrive(IDEMPOTENT).1)[0].0, Reason::Residency);
+        assert_eq!(rejections(&stage.arrive(IDEMPOTENT).1)[0].0, Reason::Residency);
         for (class, zones) in [(CELL_KEYED, 2..3), (GLOBALLY_KEYED, 0..4)] {
             let (request, actions) = stage.arrive(class);
-            let upstream = sent_to(&actions).expect("there is room");
+            let upstream = sent_to(&actions).expect("a server has capacity");
             assert!(zones.contains(&(upstream.0 / 3)));
             stage.finish_attempt(request, 0, upstream, Outcome::Ok, 0.5);
         }
         stage.now += 40.0;
     }
-    // The rule tightened while these were out.
+    // The residency rules became stricter while these requests were in flight.
     assert!(failed(&stage.finish_attempt(request, 0, first, Outcome::Reset, 1.0)));
     stage.now += 1.0;
     assert!(
-        failed(&stage.finish_attempt(keyed, 0, second, Outcome::Error, 1.0)),
-        "its zone is out of bounds now"
+        failed(&stage.finish_attempt(keyed_request, 0, second, Outcome::Error, 1.0)),
+        "its zone is no longer allowed"
     );
     let (class, tenant) = (ClassId(4), TenantId(0));
-    let new = Residency { zone_sets: Vec::new(), classes: vec![None; 4], tenants: Vec::new() };
-    assert!(!new.allows(class, tenant, ZoneId(2)), "a class that its rules were not told of yet");
+    let outdated = Residency { zone_sets: Vec::new(), classes: vec![None; 4], tenants: Vec::new() };
+    assert!(
+        !outdated.allows(class, tenant, ZoneId(2)),
+        "no zone is allowed to a class whose rules have not arrived yet"
+    );
 }
 
 #[test]
-fn a_server_that_moves_to_another_zone_leaves_the_rings_of_the_old_one() {
-    let mut stage = Harness::new(settings(), zones());
-    stage.handle(within(&[&[1]], &[Some(0); 5]));
-    let meets = |stage: &mut Harness, id| {
+fn server_that_moves_to_another_zone_leaves_the_rings_of_the_old_zone() {
+    let mut stage = Harness::new(settings(), servers_in_four_zones());
+    stage.handle(residency_event(&[&[1]], &[Some(0); 5]));
+    let receives_requests = |stage: &mut Harness, id| {
         (0..100).any(|_| {
             let (request, actions) = stage.arrive(IDEMPOTENT);
-            let upstream = sent_to(&actions).expect("there is room");
+            let upstream = sent_to(&actions).expect("a server has capacity");
             stage.finish_attempt(request, 0, upstream, Outcome::Ok, 1.0);
             upstream.0 == id
         })
     };
-    assert!(meets(&mut stage, 4));
-    let to = |zone, id| Listing { zone: ZoneId(zone), ..listing(id) };
-    stage.handle(Event::Listed(ListUpdate::Changed(vec![to(2, 4), to(1, 9)])));
-    assert!(!meets(&mut stage, 4));
-    assert!(meets(&mut stage, 9));
+    assert!(receives_requests(&mut stage, 4));
+    let in_zone = |zone, id| Listing { zone: ZoneId(zone), ..listing(id) };
+    stage.handle(Event::Listed(ListUpdate::Changed(vec![in_zone(2, 4), in_zone(1, 9)])));
+    assert!(!receives_requests(&mut stage, 4));
+    assert!(receives_requests(&mut stage, 9));
 }
 
-/// Guards against a service that may go to few zones and finds few of their servers in the sidecar's subset.
+/// Guards against a class that may go to few zones and finds few of their servers in the sidecar's subset.
 #[test]
-fn a_ring_has_a_subset_of_its_own() {
+fn each_ring_has_a_subset_of_its_own() {
     let servers = (0..400).map(|id| Listing { zone: ZoneId(id / 40), ..listing(id) }).collect();
     let mut stage = Harness::new(Settings { sidecars: 1_000, ..settings() }, servers);
-    stage.handle(within(&[&[3]], &[Some(0), None, None, None, None]));
-    let mut met = |class| {
-        let mut met = BTreeSet::new();
+    stage.handle(residency_event(&[&[3]], &[Some(0), None, None, None, None]));
+    let mut servers_used = |class| {
+        let mut used = BTreeSet::new();
         for _ in 0..400 {
             let (request, actions) = stage.arrive(class);
-            let upstream = sent_to(&actions).expect("there is room");
+            let upstream = sent_to(&actions).expect("a server has capacity");
             stage.finish_attempt(request, 0, upstream, Outcome::Ok, 1.0);
-            met.insert(upstream.0);
+            used.insert(upstream.0);
         }
-        met
+        used
     };
-    let (ruled, free) = (met(IDEMPOTENT), met(NON_IDEMPOTENT));
-    assert!(ruled.iter().all(|id| id / 40 == 3));
-    assert_eq!((ruled.len(), free.len()), (16, 16));
+    let (restricted, unrestricted) = (servers_used(IDEMPOTENT), servers_used(NON_IDEMPOTENT));
+    assert!(restricted.iter().all(|id| id / 40 == 3));
+    assert_eq!((restricted.len(), unrestricted.len()), (16, 16));
 }
