--- a/crates/harelock/src/fleet.rs
+++ b/crates/harelock/src/fleet.rs
@@ -4,7 +4,7 @@
 use anyhow::{Result, anyhow};
 use listclock::Pace;
 use node::config::Config;
-use node::engine::{Fleet, Members, News, Orders, Standings};
+use node::engine::{ClusterSetup, ClusterStatus, Members, News, Orders};
 use node::operator::{Facts, MEMBER, Operator, Peers};
 use node::peers::Datagrams;
 use residency::Rules;
@@ -19,7 +19,7 @@
     /// The section, where the platform lets sidecars talk.
     peers: Option<Peers>,
     pace: watch::Sender<Pace>,
-    standing: watch::Sender<Standings>,
+    standing: watch::Sender<ClusterStatus>,
 }
 
 /// Who the environment says that this member is.
@@ -40,12 +40,12 @@
         (peers.is_some() || operator.residency.is_some()).then(|| Parts {
             peers,
             pace: watch::channel(Pace::Usual).0,
-            standing: watch::channel(Standings::default()).0,
+            standing: watch::channel(ClusterStatus::default()).0,
         })
     }
 
     /// Where the figures see how it stands.
-    pub fn standing(&self) -> watch::Receiver<Standings> {
+    pub fn standing(&self) -> watch::Receiver<ClusterStatus> {
         self.standing.subscribe()
     }
 
@@ -55,7 +55,7 @@
     }
 
     /// Opens the socket and hands all over to an engine.
-    pub fn open(self, config: &Config, orders: &Orders, rules: Option<Rules>) -> Result<Fleet> {
+    pub fn open(self, config: &Config, orders: &Orders, rules: Option<Rules>) -> Result<ClusterSetup> {
         let Parts { peers, pace, standing } = self;
         let me = environment();
         let member = match peers {
@@ -73,7 +73,7 @@
                 Some((told, members, mailbox))
             }
         };
-        Ok(Fleet { member, rules, pace, standing })
+        Ok(ClusterSetup { member, rules, pace, status: standing })
     }
 }
 
--- a/crates/harelock/src/lib.rs
+++ b/crates/harelock/src/lib.rs
@@ -24,7 +24,7 @@
 use tracing::{error, info};
 
 use node::config::Config;
-use node::engine::{Engine, Names, News, Orders, Surroundings, WallClock, Ways};
+use node::engine::{Engine, EngineDependencies, News, Orders, RequestNames, WallClock, Ways};
 use node::figures::Figures;
 use node::fronts::Phase;
 use node::fronts::address_lists::AddressLists;
@@ -159,7 +159,7 @@
         None => None,
     };
     let lists = operator.address_lists.take().map(AddressLists::new);
-    let names = Names { classes: config.settings.classes(), tenants: config.settings.tenant_names() };
+    let names = RequestNames { classes: config.settings.classes(), tenants: config.settings.tenant_names() };
     let Ways { intake, reports, news, orders, inbox } = Ways::new(names);
     let news = parts.as_ref().map(|parts| parts.news(&news)).unwrap_or(news);
     let front = Arc::new(Front::new(intake.clone(), phases, lists, figures.clone()));
@@ -178,7 +178,8 @@
     let at_start = AtStart { peers: operator.peers.clone(), acts: parts.is_some() };
     let fleet = operator.blame(parts.map(|parts| parts.open(&config, &orders, rules)).transpose())?;
     let wall_clock = WallClock::read();
-    let surroundings = Surroundings { intake, inbox, transport, roster, fleet, wall_clock };
+    let surroundings =
+        EngineDependencies { intake, inbox, transport, discovery_source: roster, cluster: fleet, wall_clock };
     let asked = Arc::new(Notify::new());
     let reread =
         Reread { orders: orders.clone(), news, system_calls, operator: file, platform, facts, at_start };
--- a/crates/node/src/engine/attempts.rs
+++ b/crates/node/src/engine/attempts.rs
@@ -39,9 +39,9 @@
     }
 
     /// Sends a request once more.
-    pub(super) fn send(&mut self, request: RequestId, upstream: UpstreamId, timeout: Millis) {
+    pub(super) fn start_attempt(&mut self, request: RequestId, upstream: UpstreamId, timeout: Millis) {
         let now = Instant::now();
-        let Some(open) = self.open.get_mut(&request) else { return };
+        let Some(open) = self.open_requests.get_mut(&request) else { return };
         let attempt = AttemptNo(open.sends);
         open.sends += 1;
         let timeout = Duration::try_from_secs_f64(timeout / 1e3).unwrap_or_default();
@@ -64,7 +64,7 @@
     }
 
     /// An attempt has ended.
-    pub(super) fn ended(&mut self, flight: Flight, end: End) {
+    pub(super) fn finish_attempt(&mut self, flight: Flight, end: End) {
         let key = (flight.request, flight.attempt);
         let mut reason = None;
         let (outcome, answer) = match end {
@@ -77,7 +77,7 @@
         let Some(sent) = self.sent.remove(&key) else { return };
         let latency = sent.at.elapsed().as_secs_f64() * 1e3;
         self.counters.ended(outcome);
-        let key_window = self.open.get(&flight.request).and_then(|open| open.key_window.as_ref());
+        let key_window = self.open_requests.get(&flight.request).and_then(|open| open.key_window.as_ref());
         if let Some(key_window) = key_window.filter(|_| !outcome.may_have_run()) {
             key_window.never_ran(flight.attempt);
         }
@@ -89,7 +89,7 @@
             report_from_text(&self.columns, text.to_str().ok()?)
         });
         // The first answer goes to the client by itself and ends the request.
-        let mut closed = !self.open.contains_key(&flight.request);
+        let mut closed = !self.open_requests.contains_key(&flight.request);
         if let (Outcome::Ok, Some(answer)) = (outcome, answer) {
             self.finish(flight.request, Final::Served(client_headers(&answer.headers), answer.body));
             closed = true;
@@ -116,7 +116,7 @@
         reason: Option<&str>,
     ) {
         let host = self.servers.get(&flight.upstream).map_or("?", |server| &server.host);
-        let Some(open) = self.open.get_mut(&flight.request) else { return };
+        let Some(open) = self.open_requests.get_mut(&flight.request) else { return };
         let status = status.map(|status| format!(" {}", status.as_u16())).unwrap_or_default();
         let reason = reason.map(|reason| format!(" ({reason})")).unwrap_or_default();
         open.trail += &format!(" {host} {}{status} {latency:.0} ms{reason}", name_of(outcome));
--- a/crates/node/src/engine/company.rs
+++ b/crates/node/src/engine/cluster.rs
@@ -21,7 +21,7 @@
 use super::{Engine, Server, Timer};
 
 /// What an engine is given to act with a fleet, or by rules of residency, or both.
-pub struct Fleet {
+pub struct ClusterSetup {
     /// The member that this process is, and the way to the others.
     pub member: Option<(::peers::api::Config, Box<dyn Members>, Mailbox)>,
     /// Where its requests may go.
@@ -29,22 +29,22 @@
     /// Where it says how eagerly the roster is asked.
     pub pace: watch::Sender<Pace>,
     /// Where it shows how it stands.
-    pub standing: watch::Sender<Standings>,
+    pub status: watch::Sender<ClusterStatus>,
 }
 
 /// How this sidecar stands in its fleet.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Standings {
+pub struct ClusterStatus {
     /// As the company tells it.
     pub view: View,
     /// What became of datagrams.
     pub losses: Losses,
 }
 
-impl Standings {
+impl ClusterStatus {
     /// Its figures by name.
-    pub fn figures(&self) -> Vec<(&'static str, f64)> {
-        let Standings { view, losses } = self;
+    pub fn metrics(&self) -> Vec<(&'static str, f64)> {
+        let ClusterStatus { view, losses } = self;
         let mut figures = Vec::new();
         if let Some(peers) = &view.peers {
             figures.extend([
@@ -67,9 +67,9 @@
     }
 }
 
-impl Display for Standings {
+impl Display for ClusterStatus {
     fn fmt(&self, f: &mut Formatter<'_>) -> std::fmt::Result {
-        let Standings { view, losses } = self;
+        let ClusterStatus { view, losses } = self;
         let mut words = Vec::new();
         if let Some(peers) = &view.peers {
             let Losses { unheard, strangers, unsent, failed } = losses;
@@ -101,7 +101,7 @@
     company: Arc<Mutex<Company>>,
     links: Option<(Box<dyn Members>, Mailbox)>,
     pace: watch::Sender<Pace>,
-    standing: watch::Sender<Standings>,
+    standing: watch::Sender<ClusterStatus>,
 }
 
 /// A company as transports see it.
@@ -119,8 +119,8 @@
 }
 
 impl Acting {
-    pub(super) fn start(fleet: Fleet, setup: concert::Setup) -> Result<Acting, concert::SetupError> {
-        let Fleet { member, rules, pace, standing } = fleet;
+    pub(super) fn start(fleet: ClusterSetup, setup: concert::Setup) -> Result<Acting, concert::SetupError> {
+        let ClusterSetup { member, rules, pace, status: standing } = fleet;
         let (peers, links) = match member {
             Some((config, members, mailbox)) => (Some(config), Some((members, mailbox))),
             None => (None, None),
@@ -140,9 +140,9 @@
     }
 
     /// How it stands now, for all who want to see.
-    pub(super) fn shown(&self) -> Standings {
+    pub(super) fn shown(&self) -> ClusterStatus {
         let losses = self.links.as_ref().map(|(members, _)| members.losses()).unwrap_or_default();
-        Standings { view: held(&self.company).view(), losses }
+        ClusterStatus { view: held(&self.company).view(), losses }
     }
 }
 
--- a/crates/node/src/engine/counters.rs
+++ b/crates/node/src/engine/counters.rs
@@ -100,7 +100,7 @@
 
 impl Counters {
     /// The tally of a class.
-    pub fn of(&mut self, class: ClassId) -> &mut Tally {
+    pub fn for_class(&mut self, class: ClassId) -> &mut Tally {
         if self.classes.len() <= class.0 {
             self.classes.resize(class.0 + 1, Tally::default());
         }
--- a/crates/node/src/engine/counters/tests.rs
+++ b/crates/node/src/engine/counters/tests.rs
@@ -8,7 +8,7 @@
 fn a_line_tells_the_counts_by_name() {
     let mut counters = Counters::default();
     assert!(counters.is_idle());
-    *counters.of(ClassId(0)) = Tally { arrived: 3, refused: 1, ..Tally::default() };
+    *counters.for_class(ClassId(0)) = Tally { arrived: 3, refused: 1, ..Tally::default() };
     counters.ended(Outcome::Reset);
     counters.ended(Outcome::Reset);
     let connections = Counts { reused: 7, ..Counts::default() };
@@ -23,8 +23,8 @@
 #[test]
 fn classes_are_told_apart() {
     let mut counters = Counters::default();
-    *counters.of(ClassId(2)) = Tally { arrived: 9, served: 9, late: 2, ..Tally::default() };
-    *counters.of(ClassId(0)) = Tally { arrived: 4, refused: 4, unsent: 3, ..Tally::default() };
+    *counters.for_class(ClassId(2)) = Tally { arrived: 9, served: 9, late: 2, ..Tally::default() };
+    *counters.for_class(ClassId(0)) = Tally { arrived: 4, refused: 4, unsent: 3, ..Tally::default() };
     let line = counters.told(&Counts::default(), &names(3)).to_string();
     assert!(line.contains("requests arrived=13 served=9 late=2 refused=4 unsent=3 "), "{line}");
     assert!(line.contains("; class-2 arrived=9 served=9 late=2 refused=0 "), "{line}");
@@ -36,7 +36,7 @@
 #[test]
 fn of_hundreds_of_classes_the_busiest_are_told() {
     let mut counters = Counters::default();
-    (0..300).for_each(|class| counters.of(ClassId(class)).arrived = 1 + class as u32);
+    (0..300).for_each(|class| counters.for_class(ClassId(class)).arrived = 1 + class as u32);
     let line = counters.told(&Counts::default(), &names(300)).to_string();
     assert!(line.contains("; class-299 arrived=300 ") && line.contains("; 292 more classes;"), "{line}");
     assert!(!line.contains("class-291 "), "{line}");
--- a/crates/node/src/engine/intake.rs
+++ b/crates/node/src/engine/intake.rs
@@ -12,38 +12,38 @@
 use tokio::time::Instant;
 use tokio_util::task::TaskTracker;
 
-use super::Happening;
+use super::EngineEvent;
 use super::message::{Final, Forward};
 use super::transport::Presence;
 
 /// What class and tenant names stand for.
-pub struct Names {
+pub struct RequestNames {
     /// By class id.
     pub classes: Vec<(String, Effect)>,
     /// By tenant id.
     pub tenants: Vec<String>,
 }
 
-impl Names {
+impl RequestNames {
     /// The class that a path names.
-    pub fn class_of(&self, uri: &Uri) -> Option<usize> {
+    pub fn class_for_uri(&self, uri: &Uri) -> Option<usize> {
         let first = segments(uri.path()).next()?;
         self.classes.iter().position(|(name, _)| name == first)
     }
 }
 
 /// A request that a front has read whole and found sound.
-pub struct Asked {
+pub struct ValidatedRequest {
     /// Its class.
     pub class: ClassId,
     /// Its tenant.
     pub tenant: TenantId,
     /// When its last byte was read.
-    pub at: Instant,
+    pub received_at: Instant,
     /// How long its client waits from then on.
     pub time_left: Duration,
     /// Who sent it: the beginning of each log line about it, empty or with a space at its end.
-    pub who: Arc<str>,
+    pub log_prefix: Arc<str>,
     /// What goes on to upstreams.
     pub forward: Forward,
 }
@@ -51,7 +51,7 @@
 /// The same with what the engine needs to answer it.
 pub(super) struct Arrival {
     pub request: RequestId,
-    pub asked: Asked,
+    pub asked: ValidatedRequest,
     pub reply: oneshot::Sender<Final>,
     /// Alive while the client's own task waits.
     pub client: Weak<dyn Presence>,
@@ -60,18 +60,18 @@
 /// Where all fronts hand in their requests. Counters only: the engine alone owns state.
 pub struct Intake {
     /// Names in requests.
-    pub names: Names,
+    pub names: RequestNames,
     /// Open client connections, over all fronts: each is a task.
     pub connections: TaskTracker,
     /// Whether there is a list of upstreams.
     ready: AtomicBool,
     /// Ids for the module: those of clients come from outside and might come twice.
     next_id: AtomicU64,
-    happenings: mpsc::UnboundedSender<Happening>,
+    happenings: mpsc::UnboundedSender<EngineEvent>,
 }
 
 impl Intake {
-    pub(super) fn new(names: Names, happenings: mpsc::UnboundedSender<Happening>) -> Intake {
+    pub(super) fn new(names: RequestNames, happenings: mpsc::UnboundedSender<EngineEvent>) -> Intake {
         Intake {
             names,
             connections: TaskTracker::new(),
@@ -93,14 +93,14 @@
 
     /// Hands a request in and waits for its one final answer. Who drops this before has left: the engine hears of
     /// it and gives the request up. `client` is asked before each first byte whether it is there.
-    pub async fn ask(&self, asked: Asked, client: impl Presence + 'static) -> Final {
+    pub async fn submit(&self, asked: ValidatedRequest, client: impl Presence + 'static) -> Final {
         let request = RequestId(self.next_id.fetch_add(1, Ordering::Relaxed));
         let (reply, answer) = oneshot::channel();
         let waiting: Arc<dyn Presence> = Arc::new(client);
         let client = Arc::downgrade(&waiting);
         let mut guard = Guard { request, intake: self, answered: false, _waiting: waiting };
         let arrival = Arrival { request, asked, reply, client };
-        let _ = self.happenings.send(Happening::Arrived(Box::new(arrival)));
+        let _ = self.happenings.send(EngineEvent::RequestArrived(Box::new(arrival)));
         let answer = answer.await;
         guard.answered = true;
         // An engine that has ended answers nothing more, and promises nothing.
@@ -120,7 +120,7 @@
 impl Drop for Guard<'_> {
     fn drop(&mut self) {
         if !self.answered {
-            let _ = self.intake.happenings.send(Happening::ClientLeft(self.request));
+            let _ = self.intake.happenings.send(EngineEvent::ClientDisconnected(self.request));
         }
     }
 }
--- a/crates/node/src/engine/list.rs
+++ b/crates/node/src/engine/list.rs
@@ -16,7 +16,7 @@
 
 impl Engine {
     /// Takes in a list or what changed in it; `restored`, it is the one held before a restart.
-    pub(super) fn listed(&mut self, list: List, restored: bool) {
+    pub(super) fn apply_list(&mut self, list: List, restored: bool) {
         self.resume_from = list.resume_from;
         let whole = list.whole || restored;
         let basis = self.basis_of(&list, restored);
--- a/crates/node/src/engine/members.rs
+++ b/crates/node/src/engine/members.rs
@@ -7,7 +7,7 @@
 
 use tokio::sync::mpsc;
 
-use super::Happening;
+use super::EngineEvent;
 
 /// Datagrams that wait for the engine at most: a second of what a member hears in the largest fleets.
 const WAITING: usize = 512;
@@ -40,11 +40,11 @@
 #[derive(Clone)]
 pub struct Mailbox {
     waiting: Arc<Mutex<VecDeque<Datagram>>>,
-    happenings: mpsc::UnboundedSender<Happening>,
+    happenings: mpsc::UnboundedSender<EngineEvent>,
 }
 
 impl Mailbox {
-    pub(super) fn new(happenings: mpsc::UnboundedSender<Happening>) -> Mailbox {
+    pub(super) fn new(happenings: mpsc::UnboundedSender<EngineEvent>) -> Mailbox {
         Mailbox { waiting: Arc::default(), happenings }
     }
 
@@ -57,7 +57,7 @@
         }
         // The engine takes all that waits at once: it is told of the first only.
         if waiting.is_empty() {
-            let _ = self.happenings.send(Happening::Mail);
+            let _ = self.happenings.send(EngineEvent::DatagramsReceived);
         }
         waiting.push_back((from, bytes));
         has_room
--- a/crates/node/src/engine/members/tests.rs
+++ b/crates/node/src/engine/members/tests.rs
@@ -9,6 +9,6 @@
     assert_eq!(kept, WAITING);
     let waiting = mailbox.take();
     assert_eq!((waiting.len(), waiting.front().map(|(_, bytes)| bytes[0])), (WAITING, Some(3)));
-    assert!(matches!(told.try_recv(), Ok(Happening::Mail)) && told.try_recv().is_err());
+    assert!(matches!(told.try_recv(), Ok(EngineEvent::DatagramsReceived)) && told.try_recv().is_err());
     assert!(mailbox.deliver(from, Vec::new()) && told.try_recv().is_ok(), "the next is told again");
 }
--- a/crates/node/src/engine/mod.rs
+++ b/crates/node/src/engine/mod.rs
@@ -4,7 +4,7 @@
 //! the [`Transport`] that carries attempts, and the [`Roster`] that lists come from.
 
 mod attempts;
-mod company;
+mod cluster;
 mod counters;
 mod intake;
 mod key_window;
@@ -41,13 +41,13 @@
 use crate::module_settings::module_settings;
 use crate::operator::Capture as CaptureSettings;
 use crate::routing::Routing;
-use company::Acting;
+use cluster::Acting;
 use counters::Counters;
 use intake::Arrival;
 use server_age::ServerAges;
 
-pub use company::{Fleet, Standings};
-pub use intake::{Asked, Intake, Names};
+pub use cluster::{ClusterSetup, ClusterStatus};
+pub use intake::{Intake, RequestNames, ValidatedRequest};
 pub use key_window::{KeyWindow, WindowClosed};
 pub use members::{Datagram, Losses, Mailbox, Members};
 pub use message::{Answer, BODY_BYTES, End, Final, Forward, end_to_end};
@@ -69,29 +69,29 @@
 /// How often idle connections are looked through.
 const SWEEP: Duration = Duration::from_millis(500);
 /// Something that the engine is told.
-enum Happening {
+enum EngineEvent {
     /// A request came in.
-    Arrived(Box<Arrival>),
+    RequestArrived(Box<Arrival>),
     /// Its client went away.
-    ClientLeft(RequestId),
+    ClientDisconnected(RequestId),
     /// An attempt ended.
-    Ended { flight: Flight, end: End },
+    AttemptEnded { flight: Flight, end: End },
     /// A probe ended, with what came back.
-    Probed { upstream: UpstreamId, answer: Option<Answer> },
+    ProbeEnded { upstream: UpstreamId, answer: Option<Answer> },
     /// The roster told something.
-    Listed(List),
+    ListReceived(List),
     /// The list comes from elsewhere now.
-    Moved(Box<dyn Roster>),
+    DiscoverySourceReplaced(Box<dyn Roster>),
     /// Other routes are in force from now on.
-    Rerouted(Table),
+    RoutesChanged(Table),
     /// The operators want to see the capture.
-    Dump,
+    DumpCapture,
     /// Datagrams of other members wait.
-    Mail,
+    DatagramsReceived,
     /// Discovery is in reach or out of it.
-    Reach(Reach),
+    DiscoveryReachability(Reach),
     /// Other rules of residency are in force from now on.
-    Ruled(Option<Rules>),
+    RulesChanged(Option<Rules>),
 }
 
 /// A send that has not ended.
@@ -163,7 +163,7 @@
     columns: Vec<Column>,
     routing: Routing,
     intake: Arc<Intake>,
-    inbox: mpsc::UnboundedReceiver<Happening>,
+    inbox: mpsc::UnboundedReceiver<EngineEvent>,
     transport: Box<dyn Transport>,
     roster: Box<dyn Roster>,
     /// Where a roster that is followed anew goes on from.
@@ -172,7 +172,7 @@
     epoch: Instant,
     /// How old servers are, by what discovery tells.
     ages: ServerAges,
-    open: HashMap<RequestId, Open>,
+    open_requests: HashMap<RequestId, Open>,
     sent: BTreeMap<(RequestId, AttemptNo), Sent>,
     names: HashMap<String, UpstreamId>,
     servers: BTreeMap<UpstreamId, Server>,
@@ -187,7 +187,7 @@
 }
 
 /// What lies behind an engine's seams.
-pub struct Surroundings {
+pub struct EngineDependencies {
     /// Where requests come in.
     pub intake: Arc<Intake>,
     /// What the engine is told.
@@ -195,9 +195,9 @@
     /// How upstreams are asked.
     pub transport: Box<dyn Transport>,
     /// Where the list comes from.
-    pub roster: Box<dyn Roster>,
+    pub discovery_source: Box<dyn Roster>,
     /// What it acts with a fleet by, if it does.
-    pub fleet: Option<Fleet>,
+    pub cluster: Option<ClusterSetup>,
     /// The machine's wall clock, which is not read again.
     pub wall_clock: WallClock,
 }
@@ -208,7 +208,7 @@
         settings: SettingsObject,
         seed: u64,
         table: Table,
-        surroundings: Surroundings,
+        surroundings: EngineDependencies,
         capture: Option<&CaptureSettings>,
     ) -> Result<Engine> {
         let epoch = Instant::now();
@@ -227,7 +227,14 @@
         let classes = || routing.names().to_vec();
         let capture =
             capture.map(|capture| Capture::start(capture, classes(), seed, epoch_unix_ms)).transpose()?;
-        let Surroundings { intake, inbox, transport, roster, fleet, wall_clock: _ } = surroundings;
+        let EngineDependencies {
+            intake,
+            inbox,
+            transport,
+            discovery_source: roster,
+            cluster: fleet,
+            wall_clock: _,
+        } = surroundings;
         let acting = fleet.map(|fleet| Acting::start(fleet, setup(&told))).transpose().context("peers")?;
         let ages = ServerAges::new(epoch_unix_ms, told.safety.warm_up);
         Ok(Engine {
@@ -242,7 +249,7 @@
             following: None,
             epoch,
             ages,
-            open: HashMap::new(),
+            open_requests: HashMap::new(),
             sent: BTreeMap::new(),
             names: HashMap::new(),
             servers: BTreeMap::new(),
@@ -260,7 +267,7 @@
     /// Runs for good.
     pub async fn run(mut self, known: Option<List>) {
         self.company_woke();
-        self.listed(known.unwrap_or_default(), true);
+        self.apply_list(known.unwrap_or_default(), true);
         let serving = self.servers.values().any(|server| server.listing.lifecycle == Lifecycle::Serving);
         self.follow(if serving { Start::Known } else { Start::Empty });
         self.set_timer(Instant::now() + SWEEP, Timer::Sweep);
@@ -270,7 +277,7 @@
             tokio::select! {
                 biased;
                 happening = self.inbox.recv() => match happening {
-                    Some(happening) => self.happened(happening),
+                    Some(happening) => self.handle_event(happening),
                     None => return,
                 },
                 () = sleep_until(due.unwrap_or_else(|| Instant::now() + SWEEP)) => {}
@@ -304,7 +311,7 @@
                 Timer::Wake(token) => self.event(Event::Woke(token)),
                 Timer::Backstop(request) => {
                     // The module answers in time unless it is at fault or the process was held up.
-                    let forward = self.open.get(&request).map(|open| open.forward.clone());
+                    let forward = self.open_requests.get(&request).map(|open| open.forward.clone());
                     self.counters.overdue += u32::from(forward.is_some());
                     self.finish(request, Final::Failed);
                     self.leave(request, forward.as_deref(), "overdue");
@@ -329,7 +336,7 @@
         let connections = self.transport.counts();
         if !counters.is_idle() || self.acting.is_some() {
             let clients = self.intake.connections.len();
-            let (open, out, idle) = (self.open.len(), self.sent.len(), self.transport.idle());
+            let (open, out, idle) = (self.open_requests.len(), self.sent.len(), self.transport.idle());
             let told = counters.told(&connections, self.routing.names());
             let fleet =
                 self.acting.as_ref().map(|acting| format!("; {}", acting.shown())).unwrap_or_default();
@@ -371,7 +378,7 @@
     ) {
         let (Some(capture), servers) = (&mut self.capture, &self.servers) else { return };
         let classes = &self.intake.names;
-        let class = request.and_then(|request| classes.class_of(&request.target));
+        let class = request.and_then(|request| classes.class_for_uri(&request.target));
         let listed = match &event {
             Event::Listed(ListNews::Restored(list) | ListNews::Complete(list) | ListNews::Changed(list)) => {
                 &list[..]
@@ -395,19 +402,19 @@
         });
     }
 
-    fn happened(&mut self, happening: Happening) {
+    fn handle_event(&mut self, happening: EngineEvent) {
         match happening {
-            Happening::Arrived(arrival) => self.arrived(*arrival),
-            Happening::ClientLeft(request) => {
-                let open = self.open.remove(&request);
+            EngineEvent::RequestArrived(arrival) => self.arrived(*arrival),
+            EngineEvent::ClientDisconnected(request) => {
+                let open = self.open_requests.remove(&request);
                 if let Some(open) = &open {
-                    self.counters.of(open.class).left += 1;
+                    self.counters.for_class(open.class).left += 1;
                     self.timers.remove(&open.timer);
                 }
                 self.leave(request, open.as_ref().map(|open| &*open.forward), "its client left");
             }
-            Happening::Ended { flight, end } => self.ended(flight, end),
-            Happening::Probed { upstream, answer } => {
+            EngineEvent::AttemptEnded { flight, end } => self.finish_attempt(flight, end),
+            EngineEvent::ProbeEnded { upstream, answer } => {
                 let status = answer.as_ref().map(|answer| answer.status.as_u16());
                 let answered = status == Some(200);
                 let text = answer.filter(|_| answered);
@@ -416,17 +423,17 @@
                 self.counters.probe_ended(status, report.is_some());
                 self.event(Event::Probed { upstream, answered, report });
             }
-            Happening::Listed(list) => self.listed(list, false),
-            Happening::Moved(roster) => {
+            EngineEvent::ListReceived(list) => self.apply_list(list, false),
+            EngineEvent::DiscoverySourceReplaced(roster) => {
                 self.roster = roster;
                 let before = self.following.take();
                 self.follow(Start::Moved(before));
             }
-            Happening::Rerouted(table) => self.reroute(table),
-            Happening::Mail => self.mail(),
-            Happening::Reach(reach) => self.reach(reach),
-            Happening::Ruled(rules) => self.other_rules(rules),
-            Happening::Dump => match &self.capture {
+            EngineEvent::RoutesChanged(table) => self.reroute(table),
+            EngineEvent::DatagramsReceived => self.mail(),
+            EngineEvent::DiscoveryReachability(reach) => self.reach(reach),
+            EngineEvent::RulesChanged(rules) => self.other_rules(rules),
+            EngineEvent::DumpCapture => match &self.capture {
                 Some(capture) => capture.dump(),
                 None => info!("SIGUSR1: capture is off"),
             },
@@ -454,13 +461,13 @@
 
     fn arrived(&mut self, arrival: Arrival) {
         let Arrival { request, asked, reply, client } = arrival;
-        let Asked { class, tenant, at, time_left, who, forward } = asked;
+        let ValidatedRequest { class, tenant, received_at: at, time_left, log_prefix: who, forward } = asked;
         let deadline = at + time_left.saturating_sub(IN_HAND);
         let timer = self.set_timer(at + time_left.saturating_sub(BACKSTOP), Timer::Backstop(request));
         let (forward, trail) = (Arc::new(forward), String::new());
         let kept = forward.clone();
         let class = self.routing.class_of(class, kept.target.path(), &kept.headers);
-        self.counters.of(class).arrived += 1;
+        self.counters.for_class(class).arrived += 1;
         let lease = Arc::new(());
         let key_window = self.key_window(class);
         let open = Open {
@@ -479,7 +486,7 @@
             key_window,
             rest_limit: RestLimit::default(),
         };
-        self.open.insert(request, open);
+        self.open_requests.insert(request, open);
         let time_left = deadline.saturating_duration_since(Instant::now()).as_secs_f64() * 1e3;
         let repeat = kept.is_repeat();
         self.event_of(Event::Arrived { request, class, tenant, time_left, repeat }, Some(&kept), None);
@@ -500,10 +507,10 @@
 
     /// Answers a request, if it is still owed one.
     fn finish(&mut self, request: RequestId, answer: Final) -> bool {
-        let Some(open) = self.open.remove(&request) else { return false };
+        let Some(open) = self.open_requests.remove(&request) else { return false };
         self.timers.remove(&open.timer);
         let aim = self.module.classes().get(open.class.0).map_or(Millis::INFINITY, |class| class.aim);
-        let tally = self.counters.of(open.class);
+        let tally = self.counters.for_class(open.class);
         match &answer {
             Final::Served(..) => {
                 tally.served += 1;
@@ -529,7 +536,7 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Send { request, upstream, timeout } => self.send(request, upstream, timeout),
+            Action::Send { request, upstream, timeout } => self.start_attempt(request, upstream, timeout),
             Action::Cancel { request, attempt } => {
                 if let Some(sent) = self.sent.get_mut(&(request, attempt)) {
                     sent.give_up = None;
@@ -548,7 +555,7 @@
                 self.set_timer(at, Timer::Wake(token));
             }
             Action::Log { about, text } => {
-                let open = about.and_then(|request| self.open.get(&request));
+                let open = about.and_then(|request| self.open_requests.get(&request));
                 info!("{}{text}", open.map_or("", |open| &*open.who));
             }
         }
--- a/crates/node/src/engine/roster.rs
+++ b/crates/node/src/engine/roster.rs
@@ -10,7 +10,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-use super::Happening;
+use super::EngineEvent;
 
 /// A list of upstreams, or what changed in it.
 #[derive(Debug, Clone, Default)]
@@ -111,7 +111,7 @@
 /// Where a roster tells its news.
 #[derive(Clone)]
 pub struct News {
-    pub(super) happenings: mpsc::UnboundedSender<Happening>,
+    pub(super) happenings: mpsc::UnboundedSender<EngineEvent>,
     /// How eagerly the source is asked, where a fleet decides on it.
     pub(super) pace: Option<watch::Receiver<Pace>>,
 }
@@ -124,7 +124,7 @@
 
     /// A list, or what changed. Whether anybody still hears it.
     pub fn listed(&self, list: List) -> bool {
-        self.happenings.send(Happening::Listed(list)).is_ok()
+        self.happenings.send(EngineEvent::ListReceived(list)).is_ok()
     }
 
     /// These news for rosters whose source is asked as a fleet decides, and which tell how it answers.
@@ -140,7 +140,7 @@
     /// The source is in reach, or out of it. Heard only where a fleet wants to know.
     pub fn reach(&self, reach: Reach) {
         if self.pace.is_some() {
-            let _ = self.happenings.send(Happening::Reach(reach));
+            let _ = self.happenings.send(EngineEvent::DiscoveryReachability(reach));
         }
     }
 }
--- a/crates/node/src/engine/tests.rs
+++ b/crates/node/src/engine/tests.rs
@@ -52,15 +52,15 @@
 /// An engine that knows one server, its transport and where requests come in.
 fn engine() -> (Engine, NotingTransport, Arc<Intake>) {
     let settings: SettingsObject = serde_json::from_str(SETTINGS).expect("settings");
-    let names = Names { classes: settings.classes(), tenants: Vec::new() };
+    let names = RequestNames { classes: settings.classes(), tenants: Vec::new() };
     let Ways { intake, inbox, .. } = Ways::new(names);
     let transport = NotingTransport::default();
-    let surroundings = Surroundings {
+    let surroundings = EngineDependencies {
         intake: intake.clone(),
         inbox,
         transport: Box::new(transport.clone()),
-        roster: Box::new(SilentRoster),
-        fleet: None,
+        discovery_source: Box::new(SilentRoster),
+        cluster: None,
         wall_clock: WallClock::read(),
     };
     let mut engine = Engine::new(settings, 1, Table::default(), surroundings, None).expect("an engine");
@@ -74,23 +74,23 @@
         weight: 1.0,
         started_ms: 0.0,
     };
-    engine.listed(List { version: 1, whole: true, entries: vec![entry], ..List::default() }, false);
+    engine.apply_list(List { version: 1, whole: true, entries: vec![entry], ..List::default() }, false);
     (engine, transport, intake)
 }
 
-fn asked() -> Asked {
+fn asked() -> ValidatedRequest {
     let forward = Forward {
         method: Method::POST,
         target: Uri::from_static("/a"),
         headers: HeaderMap::new(),
         body: Bytes::new(),
     };
-    Asked {
+    ValidatedRequest {
         class: ClassId(0),
         tenant: TenantId(0),
-        at: Instant::now(),
+        received_at: Instant::now(),
         time_left: Duration::from_millis(900),
-        who: "".into(),
+        log_prefix: "".into(),
         forward,
     }
 }
@@ -98,7 +98,7 @@
 /// A client that waits for its answer until its task is aborted.
 async fn client(intake: &Arc<Intake>) -> JoinHandle<Final> {
     let intake = intake.clone();
-    let client = tokio::spawn(async move { intake.ask(asked(), ()).await });
+    let client = tokio::spawn(async move { intake.submit(asked(), ()).await });
     tokio::task::yield_now().await;
     client
 }
@@ -107,7 +107,7 @@
 fn take_in(engine: &mut Engine, most: usize) {
     for _ in 0..most {
         let Ok(happening) = engine.inbox.try_recv() else { return };
-        engine.happened(happening);
+        engine.handle_event(happening);
     }
 }
 
@@ -123,9 +123,9 @@
     assert_eq!(attempts.len(), 1, "the module does not know yet");
     assert!(!attempts[0].is_wanted());
     take_in(&mut engine, 10);
-    let tally = engine.counters.of(ClassId(0));
+    let tally = engine.counters.for_class(ClassId(0));
     assert_eq!((tally.arrived, tally.left), (1, 1));
-    assert!(engine.open.is_empty());
+    assert!(engine.open_requests.is_empty());
 }
 
 /// A client that leaves once its request was sent is seen by the attempt at once.
@@ -141,7 +141,7 @@
     assert!(!attempts[0].is_wanted(), "before the engine has heard of it");
     take_in(&mut engine, 1);
     assert!(!attempts[0].is_wanted());
-    assert_eq!(engine.counters.of(ClassId(0)).left, 1);
+    assert_eq!(engine.counters.for_class(ClassId(0)).left, 1);
 }
 
 /// All attempts of a request share its window, and what did not run does not open it.
@@ -152,13 +152,13 @@
     take_in(&mut engine, 1);
     let request = transport.take().remove(0).flight.request;
     let upstream = engine.servers.keys().next().copied().expect("a server");
-    engine.send(request, upstream, 0.0);
+    engine.start_attempt(request, upstream, 0.0);
     let second = transport.take().remove(0);
-    engine.send(request, upstream, 0.0);
+    engine.start_attempt(request, upstream, 0.0);
     let third = transport.take().remove(0);
     let (opened, bound) = (second.key_window.expect("a window"), third.key_window.expect("a window"));
     opened.begin(second.flight.attempt, Instant::now()).expect("the first to begin");
     assert!(bound.closes_for(third.flight.attempt).is_some());
-    engine.ended(second.flight, End::Outcome(Outcome::Unreachable, None));
+    engine.finish_attempt(second.flight, End::Outcome(Outcome::Unreachable, None));
     assert!(bound.closes_for(third.flight.attempt).is_none());
 }
--- a/crates/node/src/engine/transport.rs
+++ b/crates/node/src/engine/transport.rs
@@ -9,7 +9,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-use super::Happening;
+use super::EngineEvent;
 use super::key_window::KeyWindow;
 use super::message::{Answer, End, Forward};
 
@@ -205,16 +205,16 @@
 
 /// Where a transport tells what became of attempts and probes.
 #[derive(Clone)]
-pub struct Reports(pub(super) mpsc::UnboundedSender<Happening>);
+pub struct Reports(pub(super) mpsc::UnboundedSender<EngineEvent>);
 
 impl Reports {
     /// An attempt has ended.
     pub fn ended(&self, flight: Flight, end: End) {
-        let _ = self.0.send(Happening::Ended { flight, end });
+        let _ = self.0.send(EngineEvent::AttemptEnded { flight, end });
     }
 
     /// A probe has ended, with what came back.
     pub fn probed(&self, upstream: UpstreamId, answer: Option<Answer>) {
-        let _ = self.0.send(Happening::Probed { upstream, answer });
+        let _ = self.0.send(EngineEvent::ProbeEnded { upstream, answer });
     }
 }
--- a/crates/node/src/engine/ways.rs
+++ b/crates/node/src/engine/ways.rs
@@ -6,8 +6,8 @@
 use routes::Table;
 use tokio::sync::mpsc;
 
-use super::Happening;
-use super::intake::{Intake, Names};
+use super::EngineEvent;
+use super::intake::{Intake, RequestNames};
 use super::members::Mailbox;
 use super::roster::{News, Roster};
 use super::transport::Reports;
@@ -30,7 +30,7 @@
 
 impl Ways {
     /// The ways to one engine.
-    pub fn new(names: Names) -> Ways {
+    pub fn new(names: RequestNames) -> Ways {
         let (happenings, inbox) = mpsc::unbounded_channel();
         Ways {
             intake: Arc::new(Intake::new(names, happenings.clone())),
@@ -43,7 +43,7 @@
 }
 
 /// What an engine hears from.
-pub struct Inbox(pub(super) mpsc::UnboundedReceiver<Happening>);
+pub struct Inbox(pub(super) mpsc::UnboundedReceiver<EngineEvent>);
 
 #[cfg(test)]
 impl Inbox {
@@ -55,15 +55,15 @@
 
 /// The ends that a transport under test has told.
 #[cfg(test)]
-pub(crate) struct Seen(mpsc::UnboundedReceiver<Happening>);
+pub(crate) struct Seen(mpsc::UnboundedReceiver<EngineEvent>);
 
 #[cfg(test)]
 impl Seen {
     /// The next end, with the answer if one came.
     pub(crate) async fn answer(&mut self) -> (sagemast::api::Outcome, Option<super::message::Answer>) {
         match self.0.recv().await {
-            Some(Happening::Ended { end: End::Outcome(outcome, answer), .. }) => (outcome, answer),
-            Some(Happening::Ended { end: End::Broken(outcome, _), .. }) => (outcome, None),
+            Some(EngineEvent::AttemptEnded { end: End::Outcome(outcome, answer), .. }) => (outcome, answer),
+            Some(EngineEvent::AttemptEnded { end: End::Broken(outcome, _), .. }) => (outcome, None),
             _ => panic!("no attempt has ended"),
         }
     }
@@ -71,7 +71,7 @@
     /// The next probe's answer.
     pub(crate) async fn probed(&mut self) -> Option<super::message::Answer> {
         match self.0.recv().await {
-            Some(Happening::Probed { answer, .. }) => answer,
+            Some(EngineEvent::ProbeEnded { answer, .. }) => answer,
             _ => panic!("no probe has ended"),
         }
     }
@@ -79,9 +79,10 @@
     /// The next end.
     pub(crate) async fn end(&mut self) -> (sagemast::api::RequestId, sagemast::api::Outcome) {
         match self.0.recv().await {
-            Some(Happening::Ended { flight, end: End::Outcome(outcome, _) | End::Broken(outcome, _) }) => {
-                (flight.request, outcome)
-            }
+            Some(EngineEvent::AttemptEnded {
+                flight,
+                end: End::Outcome(outcome, _) | End::Broken(outcome, _),
+            }) => (flight.request, outcome),
             _ => panic!("no attempt has ended"),
         }
     }
@@ -89,7 +90,7 @@
     /// What members have sent, once there is some.
     pub(crate) async fn mail(&mut self, mailbox: &Mailbox) -> Vec<Datagram> {
         match self.0.recv().await {
-            Some(Happening::Mail) => mailbox.take().into(),
+            Some(EngineEvent::DatagramsReceived) => mailbox.take().into(),
             _ => panic!("no datagram has come"),
         }
     }
@@ -102,22 +103,22 @@
 
 /// What the operators may ask of a running engine.
 #[derive(Clone)]
-pub struct Orders(mpsc::UnboundedSender<Happening>);
+pub struct Orders(mpsc::UnboundedSender<EngineEvent>);
 
 impl Orders {
     /// Follows another roster from now on.
     pub fn follow(&self, roster: Box<dyn Roster>) {
-        let _ = self.0.send(Happening::Moved(roster));
+        let _ = self.0.send(EngineEvent::DiscoverySourceReplaced(roster));
     }
 
     /// Lets other routes be in force for the requests to come; those under way end by the ones they began with.
     pub fn reroute(&self, table: Table) {
-        let _ = self.0.send(Happening::Rerouted(table));
+        let _ = self.0.send(EngineEvent::RoutesChanged(table));
     }
 
     /// Lets other rules of residency be in force.
     pub fn rule(&self, rules: Option<Rules>) {
-        let _ = self.0.send(Happening::Ruled(rules));
+        let _ = self.0.send(EngineEvent::RulesChanged(rules));
     }
 
     /// Where datagrams of other members wait for the engine, where there are any.
@@ -127,6 +128,6 @@
 
     /// Writes the capture to the log.
     pub fn dump(&self) {
-        let _ = self.0.send(Happening::Dump);
+        let _ = self.0.send(EngineEvent::DumpCapture);
     }
 }
--- a/crates/node/src/figures/fleet.rs
+++ b/crates/node/src/figures/fleet.rs
@@ -36,7 +36,7 @@
             self.put(to, &line);
         }
         let standings = fleet.borrow().clone();
-        for (name, value) in standings.figures() {
+        for (name, value) in standings.metrics() {
             let line = match self.format {
                 Format::Statsd => format!("harelock.fleet_{name}:{value}|g\n"),
                 Format::Influx => format!("harelock_fleet_{name} value={value} {now}\n"),
@@ -54,11 +54,11 @@
     use tokio::sync::watch;
 
     use super::*;
-    use crate::engine::Standings;
+    use crate::engine::ClusterStatus;
     use crate::operator::Figures as Settings;
 
     /// The lines of a flush, as far as they are of a fleet.
-    fn lines(format: Format, fleet: Option<watch::Receiver<Standings>>) -> Vec<String> {
+    fn lines(format: Format, fleet: Option<watch::Receiver<ClusterStatus>>) -> Vec<String> {
         let settings = Settings { format, stderr: false, ..Settings::default() };
         let figures = Figures::start(settings, ["bill"].into_iter(), fleet).expect("it starts");
         let in_flight = figures.begin(Some(0));
@@ -74,7 +74,7 @@
     #[test]
     fn a_refusal_has_its_reason_and_without_a_fleet_there_is_no_line() {
         let view = View { generation: Some(7), writes_refused: 2, ..View::default() };
-        let (_told, fleet) = watch::channel(Standings { view, ..Standings::default() });
+        let (_told, fleet) = watch::channel(ClusterStatus { view, ..ClusterStatus::default() });
         assert_eq!(
             lines(Format::Statsd, Some(fleet.clone())),
             [
--- a/crates/node/src/figures/mod.rs
+++ b/crates/node/src/figures/mod.rs
@@ -19,7 +19,7 @@
 use tokio::sync::watch;
 use tokio::time::{MissedTickBehavior, interval};
 
-use super::engine::Standings;
+use super::engine::ClusterStatus;
 use super::log;
 use super::operator::{Figures as Settings, Format};
 use super::output::Share;
@@ -45,7 +45,7 @@
     file: Option<FileTarget>,
     udp: Option<Udp>,
     /// How this sidecar stands in its fleet, where it acts with one or by rules of residency.
-    fleet: Option<watch::Receiver<Standings>>,
+    fleet: Option<watch::Receiver<ClusterStatus>>,
     drops: Arc<Drops>,
 }
 
@@ -71,7 +71,7 @@
     pub fn start<'a>(
         settings: Settings,
         classes: impl Iterator<Item = &'a str>,
-        fleet: Option<watch::Receiver<Standings>>,
+        fleet: Option<watch::Receiver<ClusterStatus>>,
     ) -> Result<Arc<Figures>> {
         let limit = settings.buffer_kb << 10;
         let classes: Vec<String> = classes.chain([REST]).map(|name| label(settings.format, name)).collect();
--- a/crates/node/src/fronts/http/mod.rs
+++ b/crates/node/src/fronts/http/mod.rs
@@ -67,7 +67,7 @@
 
     /// Counts a request in that has come as far as its head.
     fn begin(&self, uri: &Uri) -> Option<InFlight> {
-        Some(self.figures.as_ref()?.begin(self.intake.names.class_of(uri)))
+        Some(self.figures.as_ref()?.begin(self.intake.names.class_for_uri(uri)))
     }
 
     /// Whether a peer is closed unread: one whose own address decides, and is not admitted.
--- a/crates/node/src/fronts/http/request.rs
+++ b/crates/node/src/fronts/http/request.rs
@@ -16,7 +16,7 @@
 use super::framing::Framing;
 use super::listener::Who;
 use super::socket::ClientSocket;
-use crate::engine::{Asked, BODY_BYTES, Final, Forward, Names, end_to_end};
+use crate::engine::{BODY_BYTES, Final, Forward, RequestNames, ValidatedRequest, end_to_end};
 use crate::figures::InFlight;
 use crate::fronts::address_lists::Client;
 
@@ -96,9 +96,9 @@
     // A client may name the whole URL; upstreams are asked for the path in any case.
     let target = head.uri.path_and_query().cloned().map(Uri::from).unwrap_or_default();
     let forward = Forward { method: head.method, target, headers: end_to_end(&head.headers), body };
-    let asked = Asked { class, tenant, at, time_left, who: shown, forward };
+    let asked = ValidatedRequest { class, tenant, received_at: at, time_left, log_prefix: shown, forward };
     open.is_whole();
-    match front.intake.ask(asked, socket.clone()).await {
+    match front.intake.submit(asked, socket.clone()).await {
         Final::Served(headers, body) => {
             let mut response = Response::new(Full::new(body));
             *response.headers_mut() = headers;
@@ -123,9 +123,12 @@
 }
 
 /// Reads the head of a request.
-fn check(request: &Request<Incoming>, names: &Names) -> Result<(ClassId, TenantId, Duration), Malformed> {
+fn check(
+    request: &Request<Incoming>,
+    names: &RequestNames,
+) -> Result<(ClassId, TenantId, Duration), Malformed> {
     let bad = |reason| (StatusCode::BAD_REQUEST, reason);
-    let class = names.class_of(request.uri()).ok_or((StatusCode::NOT_FOUND, "no such path"))?;
+    let class = names.class_for_uri(request.uri()).ok_or((StatusCode::NOT_FOUND, "no such path"))?;
     let headers = request.headers();
     match single(headers, "x-priority-class")? {
         None => return Err(bad("X-Priority-Class is missing")),
--- a/crates/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -142,11 +142,11 @@
     use std::time::Duration;
 
     use super::*;
-    use crate::engine::{Names, Ways};
+    use crate::engine::{RequestNames, Ways};
 
     #[tokio::test]
     async fn only_configured_addresses_are_heard() {
-        let ways = Ways::new(Names { classes: Vec::new(), tenants: Vec::new() });
+        let ways = Ways::new(RequestNames { classes: Vec::new(), tenants: Vec::new() });
         let mailbox = ways.orders.mailbox();
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let [member, stranger] = [0, 1].map(|_| std::net::UdpSocket::bind(any).expect("a socket"));
@@ -162,7 +162,7 @@
 
     #[tokio::test]
     async fn what_cannot_be_sent_is_dropped_from_the_oldest_on() {
-        let ways = Ways::new(Names { classes: Vec::new(), tenants: Vec::new() });
+        let ways = Ways::new(RequestNames { classes: Vec::new(), tenants: Vec::new() });
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let member = std::net::UdpSocket::bind(any).expect("a socket");
         let to = member.local_addr().expect("an address");
--- a/crates/node/src/transports/http1/tests/mod.rs
+++ b/crates/node/src/transports/http1/tests/mod.rs
@@ -23,7 +23,9 @@
 use tokio::time::{Instant, timeout};
 
 use super::{Http1, Settings};
-use crate::engine::{Attempt, Flight, Forward, Interest, Names, Peer, RestLimit, Seen, Transport, Ways};
+use crate::engine::{
+    Attempt, Flight, Forward, Interest, Peer, RequestNames, RestLimit, Seen, Transport, Ways,
+};
 use crate::socket::{Kernel, SystemCalls};
 
 const UPSTREAM: UpstreamId = UpstreamId(7);
@@ -48,7 +50,7 @@
 
 /// A transport, and what it tells.
 fn transport_with(settings: Settings) -> (Http1, Seen) {
-    let ways = Ways::new(Names { classes: Vec::new(), tenants: Vec::new() });
+    let ways = Ways::new(RequestNames { classes: Vec::new(), tenants: Vec::new() });
     (Http1::new(settings, kernel(), ways.reports), ways.inbox.seen())
 }
 
