--- a/crates/node/src/engine/cluster.rs
+++ b/crates/node/src/engine/cluster.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use ::peers::api::{Asking, Entry as Told, Reach, Standing};
+use ::peers::api::{Asking, Entry as PeerEntry, Reach, Standing};
 use ::peers::coordinator::Role;
 use ::residency::Rules;
 use concert::{Company, Input, Output, View};
@@ -45,9 +45,9 @@
     /// Its figures by name.
     pub fn metrics(&self) -> Vec<(&'static str, f64)> {
         let ClusterStatus { view, losses } = self;
-        let mut figures = Vec::new();
+        let mut metrics = Vec::new();
         if let Some(peers) = &view.peers {
-            figures.extend([
+            metrics.extend([
                 ("living", peers.living as f64),
                 ("level", peers.level),
                 ("coordinates", f64::from(u8::from(peers.role == Role::Coordinates))),
@@ -60,17 +60,17 @@
             ]);
         }
         if let Some(generation) = view.generation {
-            figures.push(("rules", generation as f64));
-            figures.push(("writes_refused", view.writes_refused as f64));
+            metrics.push(("rules", generation as f64));
+            metrics.push(("writes_refused", view.writes_refused as f64));
         }
-        figures
+        metrics
     }
 }
 
 impl Display for ClusterStatus {
     fn fmt(&self, f: &mut Formatter<'_>) -> std::fmt::Result {
         let ClusterStatus { view, losses } = self;
-        let mut words = Vec::new();
+        let mut parts = Vec::new();
         if let Some(peers) = &view.peers {
             let Losses { unheard, strangers, unsent, failed } = losses;
             let (living, members, level) = (peers.living, peers.members, peers.level);
@@ -81,84 +81,88 @@
                 Role::Coordinates => "coordinates",
             };
             let (term, refused) = (peers.term.number, peers.refused_words);
-            words.push(format!("fleet living={living}/{members} level={level:.2}"));
-            words.push(format!("role={role} term={term} words_refused={refused}"));
-            words.push(format!("datagrams in={} out={}", peers.datagrams_in, peers.datagrams_out));
-            words.push(format!("refused={} strangers={strangers}", peers.refused_datagrams));
-            words.push(format!("unheard={unheard} unsent={unsent} failed={failed}"));
+            parts.push(format!("fleet living={living}/{members} level={level:.2}"));
+            parts.push(format!("role={role} term={term} words_refused={refused}"));
+            parts.push(format!("datagrams in={} out={}", peers.datagrams_in, peers.datagrams_out));
+            parts.push(format!("refused={} strangers={strangers}", peers.refused_datagrams));
+            parts.push(format!("unheard={unheard} unsent={unsent} failed={failed}"));
         }
         if let Some(generation) = view.generation {
-            words.push(format!("rules={generation}"));
-            words.extend(view.awaited.map(|awaited| format!("awaited={awaited}")));
-            words.push(format!("writes_refused={}", view.writes_refused));
+            parts.push(format!("rules={generation}"));
+            parts.extend(view.awaited.map(|awaited| format!("awaited={awaited}")));
+            parts.push(format!("writes_refused={}", view.writes_refused));
         }
-        f.write_str(&words.join(" "))
+        f.write_str(&parts.join(" "))
     }
 }
 
 /// The same at work.
-pub(super) struct Acting {
-    company: Arc<Mutex<Company>>,
-    links: Option<(Box<dyn Members>, Mailbox)>,
+pub(super) struct ClusterHandle {
+    core: Arc<Mutex<Company>>,
+    network: Option<(Box<dyn Members>, Mailbox)>,
     pace: watch::Sender<Pace>,
-    standing: watch::Sender<ClusterStatus>,
+    status: watch::Sender<ClusterStatus>,
 }
 
 /// A company as transports see it.
-struct Door(Arc<Mutex<Company>>);
+struct ResidencyGate(Arc<Mutex<Company>>);
 
-impl Gate for Door {
+impl Gate for ResidencyGate {
     fn lets(&self, class: ClassId, tenant: TenantId, zone: &str) -> bool {
-        held(&self.0).may_write(class, tenant, zone)
+        lock(&self.0).may_write(class, tenant, zone)
     }
 }
 
 /// Held for moments only, never over a wait.
-fn held(company: &Mutex<Company>) -> MutexGuard<'_, Company> {
-    company.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(core: &Mutex<Company>) -> MutexGuard<'_, Company> {
+    core.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Acting {
-    pub(super) fn start(fleet: ClusterSetup, setup: concert::Setup) -> Result<Acting, concert::SetupError> {
-        let ClusterSetup { member, rules, pace, status: standing } = fleet;
-        let (peers, links) = match member {
+impl ClusterHandle {
+    pub(super) fn start(
+        cluster: ClusterSetup,
+        setup: concert::Setup,
+    ) -> Result<ClusterHandle, concert::SetupError> {
+        let ClusterSetup { member, rules, pace, status } = cluster;
+        let (peers, network) = match member {
             Some((config, members, mailbox)) => (Some(config), Some((members, mailbox))),
             None => (None, None),
         };
-        let company = Company::new(concert::Setup { peers, residency: rules, ..setup }, 0.0)?;
-        Ok(Acting { company: Arc::new(Mutex::new(company)), links, pace, standing })
+        let core = Company::new(concert::Setup { peers, residency: rules, ..setup }, 0.0)?;
+        Ok(ClusterHandle { core: Arc::new(Mutex::new(core)), network, pace, status })
     }
 
     /// What a transport asks before it writes a request.
-    pub(super) fn pass(&self, class: ClassId, tenant: TenantId) -> Pass {
-        Pass { gate: Arc::new(Door(self.company.clone())), class, tenant }
+    pub(super) fn residency_check(&self, class: ClassId, tenant: TenantId) -> Pass {
+        Pass { gate: Arc::new(ResidencyGate(self.core.clone())), class, tenant }
     }
 
     /// Shows it what the module was told and what it did.
-    pub(super) fn observed(&self, now: Millis, event: &Event, actions: &[Action]) {
-        held(&self.company).observed(now, event, actions);
+    pub(super) fn observe(&self, now: Millis, event: &Event, actions: &[Action]) {
+        lock(&self.core).observed(now, event, actions);
     }
 
     /// How it stands now, for all who want to see.
-    pub(super) fn shown(&self) -> ClusterStatus {
-        let losses = self.links.as_ref().map(|(members, _)| members.losses()).unwrap_or_default();
-        ClusterStatus { view: held(&self.company).view(), losses }
+    pub(super) fn status(&self) -> ClusterStatus {
+        let losses = self.network.as_ref().map(|(members, _)| members.losses()).unwrap_or_default();
+        ClusterStatus { view: lock(&self.core).view(), losses }
     }
 }
 
 impl Engine {
     /// Tells the company something, and carries out what it answers.
-    pub(super) fn tell_company(&mut self, input: Input) {
-        let now = self.millis(Instant::now());
-        let Some(acting) = &self.acting else { return };
+    pub(super) fn notify_cluster(&mut self, input: Input) {
+        let now = self.to_millis(Instant::now());
+        let Some(cluster) = &self.cluster else { return };
         let mut outputs = Vec::new();
-        held(&acting.company).handle(now, &self.module, input, &mut outputs);
+        lock(&cluster.core).handle(now, &self.balancer, input, &mut outputs);
         for output in outputs {
             match output {
-                Output::Event(event) => self.event(event),
-                Output::Entry { entry, .. } => self.apply(entry),
+                Output::Event(event) => self.notify_balancer(event),
+                Output::Entry { entry, .. } => self.apply_peer_entry(entry),
                 Output::Send { to, bytes } => {
-                    if let Some((members, _)) = self.acting.as_ref().and_then(|acting| acting.links.as_ref())
+                    if let Some((members, _)) =
+                        self.cluster.as_ref().and_then(|cluster| cluster.network.as_ref())
                     {
                         members.send(to, bytes);
                     }
@@ -166,9 +170,9 @@
                 Output::WakeAt(at) => {
                     let after = Duration::try_from_secs_f64(at / 1e3).unwrap_or_default();
                     let at = self.epoch.checked_add(after).unwrap_or_else(Instant::now);
-                    self.set_timer(at, Timer::Company);
+                    self.set_timer(at, Timer::ClusterWake);
                 }
-                Output::Ask(asking) => self.pace(match asking {
+                Output::Ask(asking) => self.set_discovery_pace(match asking {
                     Asking::Usual => Pace::Usual,
                     Asking::Often => Pace::Often,
                     Asking::Seldom => Pace::Seldom,
@@ -179,9 +183,9 @@
     }
 
     /// Lets the roster be asked at another pace.
-    fn pace(&self, pace: Pace) {
-        let Some(acting) = &self.acting else { return };
-        let changed = acting.pace.send_if_modified(|held| std::mem::replace(held, pace) != pace);
+    fn set_discovery_pace(&self, pace: Pace) {
+        let Some(cluster) = &self.cluster else { return };
+        let changed = cluster.pace.send_if_modified(|current| std::mem::replace(current, pace) != pace);
         if changed {
             let how = match pace {
                 Pace::Usual => "as usual",
@@ -193,61 +197,66 @@
     }
 
     /// A time that the company asked for has come.
-    pub(super) fn company_woke(&mut self) {
-        self.tell_company(Input::Woke);
-        if let Some(acting) = &self.acting {
-            acting.standing.send_replace(acting.shown());
+    pub(super) fn wake_cluster(&mut self) {
+        self.notify_cluster(Input::Woke);
+        if let Some(cluster) = &self.cluster {
+            cluster.status.send_replace(cluster.status());
         }
     }
 
     /// Datagrams of other members wait.
-    pub(super) fn mail(&mut self) {
-        let links = self.acting.as_ref().and_then(|acting| acting.links.as_ref());
-        let waiting = links.map(|(_, mailbox)| mailbox.take()).unwrap_or_default();
-        for (from, bytes) in waiting {
-            self.tell_company(Input::Datagram { from, bytes: &bytes });
+    pub(super) fn receive_datagrams(&mut self) {
+        let network = self.cluster.as_ref().and_then(|cluster| cluster.network.as_ref());
+        let datagrams = network.map(|(_, mailbox)| mailbox.take()).unwrap_or_default();
+        for (from, bytes) in datagrams {
+            self.notify_cluster(Input::Datagram { from, bytes: &bytes });
         }
     }
 
     /// Discovery is in reach, or out of it.
-    pub(super) fn reach(&mut self, reach: Reach) {
-        self.tell_company(Input::Reach(reach));
+    pub(super) fn update_discovery_reach(&mut self, reach: Reach) {
+        self.notify_cluster(Input::Reach(reach));
     }
 
     /// Other rules of residency are in force.
-    pub(super) fn other_rules(&mut self, rules: Option<Rules>) {
-        self.tell_company(Input::Reread(rules));
+    pub(super) fn replace_residency_rules(&mut self, rules: Option<Rules>) {
+        self.notify_cluster(Input::Reread(rules));
     }
 
     /// What a peer or the coordinator says of a server that a list named, applied like a changed list.
-    fn apply(&mut self, told: Told) {
-        let Told { host, dial, zone, kind, cell, standing, weight, started_ms } = told.clone();
+    fn apply_peer_entry(&mut self, peer_entry: PeerEntry) {
+        let PeerEntry { host, dial, zone, kind, cell, standing, weight, started_ms } = peer_entry.clone();
         let serving = standing == Standing::Serving;
         let entry = Entry { host, dial, zone, kind, cell, serving, weight, started_ms };
-        let basis = self.basis_by_peer(&entry);
-        let listing = self.update(&entry, basis);
-        self.tell_company(Input::Applied(vec![(listing.upstream, told)]));
-        self.event(Event::Listed(ListNews::Changed(vec![listing])));
+        let basis = self.start_basis_from_peer(&entry);
+        let listing = self.update_server(&entry, basis);
+        self.notify_cluster(Input::Applied(vec![(listing.upstream, peer_entry)]));
+        self.notify_balancer(Event::Listed(ListNews::Changed(vec![listing])));
     }
 
     /// Tells the company a list of the roster's, in the same words.
-    pub(super) fn listed_company(&mut self, version: u64, whole: bool, entries: Vec<(UpstreamId, Told)>) {
-        if self.acting.is_some() {
-            self.tell_company(Input::Listed { version, whole, entries });
+    pub(super) fn notify_cluster_of_list(
+        &mut self,
+        version: u64,
+        complete: bool,
+        entries: Vec<(UpstreamId, PeerEntry)>,
+    ) {
+        if self.cluster.is_some() {
+            self.notify_cluster(Input::Listed { version, whole: complete, entries });
         }
     }
 }
 
 /// An entry as members tell it.
-pub(super) fn told(entry: &Entry) -> Told {
+pub(super) fn to_peer_entry(entry: &Entry) -> PeerEntry {
     let Entry { host, dial, zone, kind, cell, serving, weight, started_ms } = entry.clone();
     let standing = if serving { Standing::Serving } else { Standing::Draining };
-    Told { host, dial, zone, kind, cell, standing, weight, started_ms }
+    PeerEntry { host, dial, zone, kind, cell, standing, weight, started_ms }
 }
 
 impl Server {
     /// It, as members tell it; nothing where there are none.
-    pub(super) fn told(&self) -> Option<Told> {
-        self.entry.as_deref().map(told)
+    pub(super) fn peer_entry(&self) -> Option<PeerEntry> {
+        self.entry.as_deref().map(to_peer_entry)
     }
 }
--- a/crates/node/src/engine/counters/tests.rs
+++ b/crates/node/src/engine/counters/tests.rs
@@ -8,11 +8,11 @@
 fn a_line_tells_the_counts_by_name() {
     let mut counters = Counters::default();
     assert!(counters.is_idle());
-    *counters.for_class(ClassId(0)) = Tally { arrived: 3, refused: 1, ..Tally::default() };
-    counters.ended(Outcome::Reset);
-    counters.ended(Outcome::Reset);
+    *counters.for_class(ClassId(0)) = RequestCounts { arrived: 3, refused: 1, ..RequestCounts::default() };
+    counters.count_attempt(Outcome::Reset);
+    counters.count_attempt(Outcome::Reset);
     let connections = Counts { reused: 7, ..Counts::default() };
-    let line = counters.told(&connections, &names(1)).to_string();
+    let line = counters.log_line(&connections, &names(1)).to_string();
     assert!(line.contains("arrived=3 ") && line.contains("refused=1 "), "{line}");
     assert!(line.contains("attempts reset=2;") && line.contains("reused=7 "), "{line}");
     assert!(!line.contains("class-0"), "a single class is all there is: {line}");
@@ -23,9 +23,11 @@
 #[test]
 fn classes_are_told_apart() {
     let mut counters = Counters::default();
-    *counters.for_class(ClassId(2)) = Tally { arrived: 9, served: 9, late: 2, ..Tally::default() };
-    *counters.for_class(ClassId(0)) = Tally { arrived: 4, refused: 4, unsent: 3, ..Tally::default() };
-    let line = counters.told(&Counts::default(), &names(3)).to_string();
+    *counters.for_class(ClassId(2)) =
+        RequestCounts { arrived: 9, served: 9, late: 2, ..RequestCounts::default() };
+    *counters.for_class(ClassId(0)) =
+        RequestCounts { arrived: 4, refused: 4, unsent: 3, ..RequestCounts::default() };
+    let line = counters.log_line(&Counts::default(), &names(3)).to_string();
     assert!(line.contains("requests arrived=13 served=9 late=2 refused=4 unsent=3 "), "{line}");
     assert!(line.contains("; class-2 arrived=9 served=9 late=2 refused=0 "), "{line}");
     assert!(line.contains("; class-0 arrived=4 served=0 late=0 refused=4 unsent=3 "), "{line}");
@@ -37,7 +39,7 @@
 fn of_hundreds_of_classes_the_busiest_are_told() {
     let mut counters = Counters::default();
     (0..300).for_each(|class| counters.for_class(ClassId(class)).arrived = 1 + class as u32);
-    let line = counters.told(&Counts::default(), &names(300)).to_string();
+    let line = counters.log_line(&Counts::default(), &names(300)).to_string();
     assert!(line.contains("; class-299 arrived=300 ") && line.contains("; 292 more classes;"), "{line}");
     assert!(!line.contains("class-291 "), "{line}");
 }
--- a/crates/node/src/engine/intake.rs
+++ b/crates/node/src/engine/intake.rs
@@ -51,7 +51,7 @@
 /// The same with what the engine needs to answer it.
 pub(super) struct Arrival {
     pub request: RequestId,
-    pub asked: ValidatedRequest,
+    pub validated: ValidatedRequest,
     pub reply: oneshot::Sender<Final>,
     /// Alive while the client's own task waits.
     pub client: Weak<dyn Presence>,
@@ -66,19 +66,19 @@
     /// Whether there is a list of upstreams.
     ready: AtomicBool,
     /// Ids for the module: those of clients come from outside and might come twice.
-    next_id: AtomicU64,
-    happenings: mpsc::UnboundedSender<EngineEvent>,
+    next_request_id: AtomicU64,
+    events: mpsc::UnboundedSender<EngineEvent>,
 }
 
 impl Intake {
-    pub(super) fn new(names: RequestNames, happenings: mpsc::UnboundedSender<EngineEvent>) -> Intake {
+    pub(super) fn new(names: RequestNames, events: mpsc::UnboundedSender<EngineEvent>) -> Intake {
         Intake {
             names,
             connections: TaskTracker::new(),
             ready: AtomicBool::new(false),
             // The module keeps timer 0 for itself and halves request ids into timers.
-            next_id: AtomicU64::new(2),
-            happenings,
+            next_request_id: AtomicU64::new(2),
+            events,
         }
     }
 
@@ -87,20 +87,20 @@
         self.ready.load(Ordering::Relaxed)
     }
 
-    pub(super) fn make_ready(&self, ready: bool) {
-        self.ready.fetch_or(ready, Ordering::Relaxed);
+    pub(super) fn update_ready(&self, has_list: bool) {
+        self.ready.fetch_or(has_list, Ordering::Relaxed);
     }
 
     /// Hands a request in and waits for its one final answer. Who drops this before has left: the engine hears of
     /// it and gives the request up. `client` is asked before each first byte whether it is there.
-    pub async fn submit(&self, asked: ValidatedRequest, client: impl Presence + 'static) -> Final {
-        let request = RequestId(self.next_id.fetch_add(1, Ordering::Relaxed));
+    pub async fn submit(&self, validated: ValidatedRequest, client: impl Presence + 'static) -> Final {
+        let request = RequestId(self.next_request_id.fetch_add(1, Ordering::Relaxed));
         let (reply, answer) = oneshot::channel();
-        let waiting: Arc<dyn Presence> = Arc::new(client);
-        let client = Arc::downgrade(&waiting);
-        let mut guard = Guard { request, intake: self, answered: false, _waiting: waiting };
-        let arrival = Arrival { request, asked, reply, client };
-        let _ = self.happenings.send(EngineEvent::RequestArrived(Box::new(arrival)));
+        let presence: Arc<dyn Presence> = Arc::new(client);
+        let client = Arc::downgrade(&presence);
+        let mut guard = DisconnectGuard { request, intake: self, answered: false, _presence: presence };
+        let arrival = Arrival { request, validated, reply, client };
+        let _ = self.events.send(EngineEvent::RequestArrived(Box::new(arrival)));
         let answer = answer.await;
         guard.answered = true;
         // An engine that has ended answers nothing more, and promises nothing.
@@ -109,18 +109,18 @@
 }
 
 /// Tells the engine when the client goes away before its answer.
-struct Guard<'a> {
+struct DisconnectGuard<'a> {
     request: RequestId,
     intake: &'a Intake,
     answered: bool,
     /// Lets attempts see that the client has gone before the engine has heard of it.
-    _waiting: Arc<dyn Presence>,
+    _presence: Arc<dyn Presence>,
 }
 
-impl Drop for Guard<'_> {
+impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
         if !self.answered {
-            let _ = self.intake.happenings.send(EngineEvent::ClientDisconnected(self.request));
+            let _ = self.intake.events.send(EngineEvent::ClientDisconnected(self.request));
         }
     }
 }
--- a/crates/node/src/engine/list.rs
+++ b/crates/node/src/engine/list.rs
@@ -12,44 +12,45 @@
 use super::{Engine, Server};
 
 /// The names of upstreams that are gone are forgotten when there are more than this many names.
-const NAMES: usize = 4_096;
+const MAX_UPSTREAM_NAMES: usize = 4_096;
 
 impl Engine {
     /// Takes in a list or what changed in it; `restored`, it is the one held before a restart.
     pub(super) fn apply_list(&mut self, list: List, restored: bool) {
         self.resume_from = list.resume_from;
-        let whole = list.whole || restored;
-        let basis = self.basis_of(&list, restored);
-        let mut listings: Vec<Listing> = list.entries.iter().map(|entry| self.update(entry, basis)).collect();
-        listings.extend(list.leaving.iter().filter_map(|name| self.leave_server(name)));
-        if whole {
+        let complete = list.whole || restored;
+        let basis = self.start_basis(&list, restored);
+        let mut listings: Vec<Listing> =
+            list.entries.iter().map(|entry| self.update_server(entry, basis)).collect();
+        listings.extend(list.leaving.iter().filter_map(|name| self.drain_server(name)));
+        if complete {
             // An entry that cannot be read is not missing: what was known of its host stands.
-            let unread = list.unread.iter().filter_map(|name| self.names.get(name));
+            let unread = list.unread.iter().filter_map(|name| self.upstream_ids.get(name));
             listings
                 .extend(unread.filter_map(|id| self.servers.get(id)).map(|server| server.listing.clone()));
-            let named: HashSet<UpstreamId> = listings.iter().map(|listing| listing.upstream).collect();
-            for (id, server) in self.servers.iter_mut().filter(|(id, _)| !named.contains(id)) {
+            let listed: HashSet<UpstreamId> = listings.iter().map(|listing| listing.upstream).collect();
+            for (id, server) in self.servers.iter_mut().filter(|(id, _)| !listed.contains(id)) {
                 if server.listing.lifecycle == Lifecycle::Serving {
                     server.listing.lifecycle = Lifecycle::Leaving;
-                    self.transport.update_upstream(*id, server.peer());
+                    self.transport.update_upstream(*id, server.transport_info());
                 }
             }
         }
-        if self.names.len() > NAMES {
-            self.forget();
+        if self.upstream_ids.len() > MAX_UPSTREAM_NAMES {
+            self.forget_departed_servers();
         }
         // Whatever discovery says, also that nothing has changed, is all that there is.
-        self.intake.make_ready(!restored || !listings.is_empty());
+        self.intake.update_ready(!restored || !listings.is_empty());
         // A process that has no list yet has been told none.
-        if self.acting.is_some() && !(restored && listings.is_empty()) {
+        if self.cluster.is_some() && !(restored && listings.is_empty()) {
             let entries = listings.iter().filter_map(|listing| {
                 let server = self.servers.get(&listing.upstream)?;
-                Some((listing.upstream, server.told()?))
+                Some((listing.upstream, server.peer_entry()?))
             });
             let entries = entries.collect();
-            self.listed_company(list.version, whole, entries);
+            self.notify_cluster_of_list(list.version, complete, entries);
         }
-        self.event(Event::Listed(match (restored, whole) {
+        self.notify_balancer(Event::Listed(match (restored, complete) {
             (true, _) => ListNews::Restored(listings),
             (false, true) => ListNews::Complete(listings),
             (false, false) => ListNews::Changed(listings),
@@ -57,25 +58,25 @@
     }
 
     /// What is known of when the servers of a list started.
-    fn basis_of(&mut self, list: &List, restored: bool) -> Basis {
-        let now = self.millis(Instant::now());
+    fn start_basis(&mut self, list: &List, restored: bool) -> Basis {
+        let now = self.to_millis(Instant::now());
         if restored {
-            return self.ages.restored(now, &list.entries);
+            return self.server_ages.restored(now, &list.entries);
         }
         if let Some(clock) = list.source_clock {
-            let (asked_at, answered_at) = (self.millis(clock.asked_at), self.millis(clock.answered_at));
-            self.ages.read(Reading { unix_ms: clock.unix_ms, asked_at, answered_at });
+            let (asked_at, answered_at) = (self.to_millis(clock.asked_at), self.to_millis(clock.answered_at));
+            self.server_ages.read(Reading { unix_ms: clock.unix_ms, asked_at, answered_at });
         }
         let serving = if list.whole { serving_weight(&list.entries) } else { self.serving_weight() };
-        let heard_before = list.heard_before.map(|at| self.millis(at));
-        self.ages.listed(now, &list.entries, heard_before, serving)
+        let heard_before = list.heard_before.map(|at| self.to_millis(at));
+        self.server_ages.listed(now, &list.entries, heard_before, serving)
     }
 
     /// The same for an entry that another member told of.
-    pub(super) fn basis_by_peer(&mut self, entry: &Entry) -> Basis {
-        let now = self.millis(Instant::now());
+    pub(super) fn start_basis_from_peer(&mut self, entry: &Entry) -> Basis {
+        let now = self.to_millis(Instant::now());
         let serving = self.serving_weight();
-        self.ages.told_by_peer(now, entry, serving)
+        self.server_ages.told_by_peer(now, entry, serving)
     }
 
     /// The weight of all servers that serve.
@@ -86,16 +87,16 @@
     }
 
     /// Takes in what the roster says of one upstream, in the module's terms.
-    pub(super) fn update(&mut self, entry: &Entry, basis: Basis) -> Listing {
-        let id = match self.names.get(&entry.host) {
+    pub(super) fn update_server(&mut self, entry: &Entry, basis: Basis) -> Listing {
+        let id = match self.upstream_ids.get(&entry.host) {
             Some(id) => *id,
             None => {
-                self.next_upstream += 1;
-                self.names.insert(entry.host.clone(), UpstreamId(self.next_upstream));
-                UpstreamId(self.next_upstream)
+                self.last_upstream_id += 1;
+                self.upstream_ids.insert(entry.host.clone(), UpstreamId(self.last_upstream_id));
+                UpstreamId(self.last_upstream_id)
             }
         };
-        let started = self.started(id, entry.started_ms, basis);
+        let started = self.start_time(id, entry.started_ms, basis);
         let listing = Listing {
             upstream: id,
             zone: ZoneId(self.settings.zone_named(&entry.zone)),
@@ -105,52 +106,53 @@
             weight: entry.weight,
             started,
         };
-        let acting = self.acting.is_some();
+        let in_cluster = self.cluster.is_some();
         let server = self.servers.entry(id).or_insert_with(|| Server {
             host: Arc::from(entry.host.as_str()),
             listing: listing.clone(),
-            dial: entry.dial,
+            address: entry.dial,
             started_ms: entry.started_ms,
-            life: 0,
+            incarnation: 0,
             entry: None,
         });
         // Connections to another address or another life lead nowhere, or to the wrong process.
-        if server.dial != entry.dial || server.started_ms != entry.started_ms {
-            server.life += 1;
+        if server.address != entry.dial || server.started_ms != entry.started_ms {
+            server.incarnation += 1;
         }
-        server.entry = acting.then(|| Box::new(entry.clone()));
-        (server.dial, server.started_ms, server.listing) = (entry.dial, entry.started_ms, listing.clone());
-        self.transport.update_upstream(id, server.peer());
+        server.entry = in_cluster.then(|| Box::new(entry.clone()));
+        (server.address, server.started_ms, server.listing) = (entry.dial, entry.started_ms, listing.clone());
+        self.transport.update_upstream(id, server.transport_info());
         listing
     }
 
     /// When a server started, on the module's clock. What was judged before stands, unless a first list shows better.
-    fn started(&mut self, id: UpstreamId, started_ms: f64, basis: Basis) -> Option<Millis> {
+    fn start_time(&mut self, id: UpstreamId, started_ms: f64, basis: Basis) -> Option<Millis> {
         let known = self.servers.get(&id).filter(|server| server.started_ms == started_ms);
         let before = known.map(|server| server.listing.started);
         if let (Some(before), Basis::Told { .. } | Basis::AfterSilence { .. }) = (before, basis) {
             return before;
         }
-        let now = self.millis(Instant::now());
-        let judged = self.ages.started(now, started_ms, basis);
-        before.filter(|before| !is_revised(*before, judged)).unwrap_or(judged)
+        let now = self.to_millis(Instant::now());
+        let estimate = self.server_ages.started(now, started_ms, basis);
+        before.filter(|before| !is_revised(*before, estimate)).unwrap_or(estimate)
     }
 
     /// Takes in that an upstream wants nothing new; `None` for one that is not known.
-    fn leave_server(&mut self, name: &str) -> Option<Listing> {
-        let id = *self.names.get(name)?;
+    fn drain_server(&mut self, name: &str) -> Option<Listing> {
+        let id = *self.upstream_ids.get(name)?;
         let server = self.servers.get_mut(&id)?;
         server.listing.lifecycle = Lifecycle::Leaving;
         if let Some(entry) = &mut server.entry {
             entry.serving = false;
         }
-        self.transport.update_upstream(id, server.peer());
+        self.transport.update_upstream(id, server.transport_info());
         Some(server.listing.clone())
     }
 
     /// Forgets upstreams that are gone, so that names do not pile up.
-    fn forget(&mut self) {
-        let busy: HashSet<UpstreamId> = self.sent.values().map(|sent| sent.upstream).collect();
+    fn forget_departed_servers(&mut self) {
+        let busy: HashSet<UpstreamId> =
+            self.in_flight_attempts.values().map(|attempt| attempt.upstream).collect();
         let transport = &self.transport;
         self.servers.retain(|id, server| {
             let kept = server.listing.lifecycle == Lifecycle::Serving || busy.contains(id);
@@ -159,19 +161,25 @@
             }
             kept
         });
-        self.names.retain(|_, id| self.servers.contains_key(id));
+        self.upstream_ids.retain(|_, id| self.servers.contains_key(id));
     }
 }
 
 impl Server {
     /// The name of its zone, where rules may ask for it.
-    fn zone(&self) -> Option<Arc<str>> {
+    fn zone_name(&self) -> Option<Arc<str>> {
         self.entry.as_ref().map(|entry| Arc::from(entry.zone.as_str()))
     }
 
     /// What a transport must know of it.
-    fn peer(&self) -> Peer {
+    fn transport_info(&self) -> Peer {
         let serving = self.listing.lifecycle == Lifecycle::Serving;
-        Peer { host: self.host.clone(), dial: self.dial, life: self.life, zone: self.zone(), serving }
+        Peer {
+            host: self.host.clone(),
+            dial: self.address,
+            life: self.incarnation,
+            zone: self.zone_name(),
+            serving,
+        }
     }
 }
