--- a/crates/node/src/engine/intake.rs
+++ b/crates/node/src/engine/intake.rs
@@ -1,5 +1,5 @@
-//! The seam towards fronts: a front hands each whole, checked request to the [`Intake`] and is given one final
-//! answer for it, whatever becomes of the request.
+//! The interface between listeners and the engine. A listener submits each complete, validated request to the
+//! [`Intake`] and receives exactly one final answer for it.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Weak};
@@ -12,115 +12,122 @@
 use tokio::time::Instant;
 use tokio_util::task::TaskTracker;
 
-use super::Happening;
+use super::EngineEvent;
 use super::message::{Final, Forward};
 use super::transport::Presence;
 
-/// What class and tenant names stand for.
-pub struct Names {
-    /// By class id.
+/// The class and tenant names that requests may carry. The index of a name is the id.
+pub struct RequestNames {
+    /// The names and effects of classes, by class id.
     pub classes: Vec<(String, Idempotency)>,
-    /// By tenant id.
+    /// The names of tenants, by tenant id.
     pub tenants: Vec<String>,
 }
 
-impl Names {
-    /// The class that a path names.
-    pub fn class_of(&self, uri: &Uri) -> Option<usize> {
+impl RequestNames {
+    /// Returns the class that the first segment of the path names.
+    pub fn class_for_uri(&self, uri: &Uri) -> Option<usize> {
         let first = segments(uri.path()).next()?;
         self.classes.iter().position(|(name, _)| name == first)
     }
 }
 
-/// A request that a front has read whole and found sound.
-pub struct Asked {
-    /// Its class.
+/// A request that a listener has read completely and validated.
+pub struct ValidatedRequest {
+    /// The class that the request names.
     pub class: ClassId,
-    /// Its tenant.
+    /// The tenant that the request names.
     pub tenant: TenantId,
-    /// When its last byte was read.
-    pub at: Instant,
-    /// How long its client waits from then on.
+    /// When the last byte of the request was read.
+    pub received_at: Instant,
+    /// How much longer the client waits, counted from `received_at`.
     pub time_left: Duration,
-    /// Who sent it: the beginning of each log line about it, empty or with a space at its end.
-    pub who: Arc<str>,
-    /// What goes on to upstreams.
+    /// The beginning of each log line about the request, which identifies the client. Empty, or ends with a
+    /// space.
+    pub log_prefix: Arc<str>,
+    /// The request as it is forwarded to upstreams.
     pub forward: Forward,
 }
 
-/// The same with what the engine needs to answer it.
+/// A validated request together with what the engine needs to answer it.
 pub(super) struct Arrival {
     pub request: RequestId,
-    pub asked: Asked,
+    pub validated: ValidatedRequest,
     pub reply: oneshot::Sender<Final>,
     /// Alive while the client's own task waits.
     pub client: Weak<dyn Presence>,
 }
 
-/// Where all fronts hand in their requests. Counters only: the engine alone owns state.
+/// Accepts the requests of all listeners. It holds only counters and flags: the engine alone owns the state
+/// of requests.
 pub struct Intake {
-    /// Names in requests.
-    pub names: Names,
-    /// Open client connections, over all fronts: each is a task.
+    /// The names by which listeners validate requests.
+    pub names: RequestNames,
+    /// Open client connections of all listeners. Each connection is a task.
     pub connections: TaskTracker,
-    /// Whether there is a list of upstreams.
+    /// Whether a list of upstreams has been received.
     ready: AtomicBool,
-    /// Ids for the module: those of clients come from outside and might come twice.
-    next_id: AtomicU64,
-    happenings: mpsc::UnboundedSender<Happening>,
+    /// The next request id for the balancer. Clients choose their own ids, which need not be unique.
+    next_request_id: AtomicU64,
+    events: mpsc::UnboundedSender<EngineEvent>,
 }
 
 impl Intake {
-    pub(super) fn new(names: Names, happenings: mpsc::UnboundedSender<Happening>) -> Intake {
+    pub(super) fn new(names: RequestNames, events: mpsc::UnboundedSender<EngineEvent>) -> Intake {
         Intake {
             names,
             connections: TaskTracker::new(),
             ready: AtomicBool::new(false),
-            // The module keeps timer 0 for itself and halves request ids into timers.
-            next_id: AtomicU64::new(2),
-            happenings,
+            // The balancer reserves timer token 0 and derives two timer tokens from each request id.
+            next_request_id: AtomicU64::new(2),
+            events,
         }
     }
 
-    /// Whether requests can be served: whether a list of upstreams has come.
+    /// Whether requests can be served, that is, whether a list of upstreams has been received.
     pub fn is_ready(&self) -> bool {
         self.ready.load(Ordering::Relaxed)
     }
 
-    pub(super) fn make_ready(&self, ready: bool) {
-        self.ready.fetch_or(ready, Ordering::Relaxed);
+    /// Marks the intake as ready if `has_list` is true. A ready intake stays ready.
+    pub(super) fn update_ready(&self, has_list: bool) {
+        self.ready.fetch_or(has_list, Ordering::Relaxed);
     }
 
-    /// Hands a request in and waits for its one final answer. Who drops this before has left: the engine hears of
-    /// it and gives the request up. `client` is asked before each first byte whether it is there.
-    pub async fn ask(&self, asked: Asked, client: impl Presence + 'static) -> Final {
-        let request = RequestId(self.next_id.fetch_add(1, Ordering::Relaxed));
+    /// Submits a request and waits for its final answer.
+    ///
+    /// Dropping the returned future before the answer means that the client has disconnected: the engine is
+    /// notified and gives the request up. Transports check `client` for a disconnect before they write the
+    /// first byte of an attempt.
+    pub async fn submit(&self, validated: ValidatedRequest, client: impl Presence + 'static) -> Final {
+        let request = RequestId(self.next_request_id.fetch_add(1, Ordering::Relaxed));
         let (reply, answer) = oneshot::channel();
-        let waiting: Arc<dyn Presence> = Arc::new(client);
-        let client = Arc::downgrade(&waiting);
-        let mut guard = Guard { request, intake: self, answered: false, _waiting: waiting };
-        let arrival = Arrival { request, asked, reply, client };
-        let _ = self.happenings.send(Happening::Arrived(Box::new(arrival)));
+        let presence: Arc<dyn Presence> = Arc::new(client);
+        let client = Arc::downgrade(&presence);
+        let mut guard = DisconnectGuard { request, intake: self, answered: false, _presence: presence };
+        let arrival = Arrival { request, validated, reply, client };
+        let _ = self.events.send(EngineEvent::RequestArrived(Box::new(arrival)));
         let answer = answer.await;
         guard.answered = true;
-        // An engine that has ended answers nothing more, and promises nothing.
+        // The engine has stopped, so nothing is known about what became of the request.
         answer.unwrap_or(Final::Failed)
     }
 }
 
-/// Tells the engine when the client goes away before its answer.
-struct Guard<'a> {
+/// Notifies the engine when it is dropped before the answer, because the client has disconnected.
+struct DisconnectGuard<'a> {
     request: RequestId,
     intake: &'a Intake,
     answered: bool,
-    /// Lets attempts see that the client has gone before the engine has heard of it.
-    _waiting: Arc<dyn Presence>,
+    /// Kept alive while the client waits, so that attempts can see a disconnect before the engine is
+    /// notified.
+    _presence: Arc<dyn Presence>,
 }
 
-impl Drop for Guard<'_> {
+impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
         if !self.answered {
-            let _ = self.intake.happenings.send(Happening::ClientLeft(self.request));
+            let _ = self.intake.events.send(EngineEvent::ClientDisconnected(self.request));
         }
     }
 }
--- a/crates/node/src/engine/list.rs
+++ b/crates/node/src/engine/list.rs
@@ -1,4 +1,5 @@
-//! The list of upstreams: names and ids, and what the module and the transport are told of them.
+//! Applies lists of upstreams: maintains the known servers and their ids, and notifies the balancer, the
+//! transport and the cluster logic of changes.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -11,91 +12,95 @@
 use super::transport::Peer;
 use super::{Engine, Server};
 
-/// The names of upstreams that are gone are forgotten when there are more than this many names.
-const NAMES: usize = 4_096;
+/// When more than this many host names are known, the engine forgets servers that are gone.
+const MAX_UPSTREAM_NAMES: usize = 4_096;
 
 impl Engine {
-    /// Takes in a list or what changed in it; `restored`, it is the one held before a restart.
-    pub(super) fn listed(&mut self, list: List, restored: bool) {
+    /// Applies a list or a change to it. `restored` means that the list was held before a restart and may be
+    /// old.
+    pub(super) fn apply_list(&mut self, list: List, restored: bool) {
         self.resume_from = list.resume_from;
-        let whole = list.whole || restored;
-        let basis = self.basis_of(&list, restored);
-        let mut listings: Vec<Listing> = list.entries.iter().map(|entry| self.update(entry, basis)).collect();
-        listings.extend(list.leaving.iter().filter_map(|name| self.leave_server(name)));
-        if whole {
-            // An entry that cannot be read is not missing: what was known of its host stands.
-            let unread = list.unread.iter().filter_map(|name| self.names.get(name));
+        let complete = list.whole || restored;
+        let basis = self.start_basis(&list, restored);
+        let mut listings: Vec<Listing> =
+            list.entries.iter().map(|entry| self.update_server(entry, basis)).collect();
+        listings.extend(list.leaving.iter().filter_map(|name| self.drain_server(name)));
+        if complete {
+            // A server whose entry could not be parsed is not missing: its last known state still applies.
+            let unread = list.unread.iter().filter_map(|name| self.upstream_ids.get(name));
             listings
                 .extend(unread.filter_map(|id| self.servers.get(id)).map(|server| server.listing.clone()));
-            let named: HashSet<UpstreamId> = listings.iter().map(|listing| listing.upstream).collect();
-            for (id, server) in self.servers.iter_mut().filter(|(id, _)| !named.contains(id)) {
+            let listed: HashSet<UpstreamId> = listings.iter().map(|listing| listing.upstream).collect();
+            for (id, server) in self.servers.iter_mut().filter(|(id, _)| !listed.contains(id)) {
                 if server.listing.lifecycle == Lifecycle::Serving {
                     server.listing.lifecycle = Lifecycle::Draining;
-                    self.transport.update_upstream(*id, server.peer());
+                    self.transport.update_upstream(*id, server.transport_info());
                 }
             }
         }
-        if self.names.len() > NAMES {
-            self.forget();
+        if self.upstream_ids.len() > MAX_UPSTREAM_NAMES {
+            self.forget_departed_servers();
         }
-        // Whatever discovery says, also that nothing has changed, is all that there is.
-        self.intake.make_ready(!restored || !listings.is_empty());
-        // A process that has no list yet has been told none.
-        if self.acting.is_some() && !(restored && listings.is_empty()) {
+        // Any answer from discovery makes the sidecar ready, even one without changes. A restored list does
+        // so only if it has entries.
+        self.intake.update_ready(!restored || !listings.is_empty());
+        // An empty restored list means that the process has no list yet, so there is nothing to pass on.
+        if self.cluster.is_some() && !(restored && listings.is_empty()) {
             let entries = listings.iter().filter_map(|listing| {
                 let server = self.servers.get(&listing.upstream)?;
-                Some((listing.upstream, server.told()?))
+                Some((listing.upstream, server.peer_entry()?))
             });
             let entries = entries.collect();
-            self.listed_company(list.version, whole, entries);
+            self.notify_cluster_of_list(list.version, complete, entries);
         }
-        self.event(Event::Listed(match (restored, whole) {
+        self.notify_balancer(Event::Listed(match (restored, complete) {
             (true, _) => ListUpdate::Restored(listings),
             (false, true) => ListUpdate::Complete(listings),
             (false, false) => ListUpdate::Changed(listings),
         }));
     }
 
-    /// What is known of when the servers of a list started.
-    fn basis_of(&mut self, list: &List, restored: bool) -> Basis {
-        let now = self.millis(Instant::now());
+    /// Returns what is known about the start times in a list beyond its entries.
+    fn start_basis(&mut self, list: &List, restored: bool) -> Basis {
+        let now = self.to_millis(Instant::now());
         if restored {
-            return self.ages.restored(now, &list.entries);
+            return self.server_ages.restored(now, &list.entries);
         }
         if let Some(clock) = list.source_clock {
-            let (asked_at, answered_at) = (self.millis(clock.asked_at), self.millis(clock.answered_at));
-            self.ages.read(Reading { unix_ms: clock.unix_ms, asked_at, answered_at });
+            let (asked_at, answered_at) = (self.to_millis(clock.asked_at), self.to_millis(clock.answered_at));
+            self.server_ages.read(Reading { unix_ms: clock.unix_ms, asked_at, answered_at });
         }
         let serving = if list.whole { serving_weight(&list.entries) } else { self.serving_weight() };
-        let heard_before = list.heard_before.map(|at| self.millis(at));
-        self.ages.listed(now, &list.entries, heard_before, serving)
+        let heard_before = list.heard_before.map(|at| self.to_millis(at));
+        self.server_ages.listed(now, &list.entries, heard_before, serving)
     }
 
-    /// The same for an entry that another member told of.
-    pub(super) fn basis_by_peer(&mut self, entry: &Entry) -> Basis {
-        let now = self.millis(Instant::now());
+    /// Like [`start_basis`](Engine::start_basis), for an entry reported by another cluster member.
+    pub(super) fn start_basis_from_peer(&mut self, entry: &Entry) -> Basis {
+        let now = self.to_millis(Instant::now());
         let serving = self.serving_weight();
-        self.ages.told_by_peer(now, entry, serving)
+        self.server_ages.told_by_peer(now, entry, serving)
     }
 
-    /// The weight of all servers that serve.
+    /// Returns the total weight of all serving servers.
     fn serving_weight(&self) -> f64 {
         let listings = self.servers.values().map(|server| &server.listing);
         let serving = listings.filter(|listing| listing.lifecycle == Lifecycle::Serving);
         serving.map(|listing| listing.weight.max(0.0)).sum()
     }
 
-    /// Takes in what the roster says of one upstream, in the module's terms.
-    pub(super) fn update(&mut self, entry: &Entry, basis: Basis) -> Listing {
-        let id = match self.names.get(&entry.host) {
+    /// Applies a list entry to the server that it describes, and returns the entry in the balancer's terms. A
+    /// host name that is new gets the next upstream id.
+    pub(super) fn update_server(&mut self, entry: &Entry, basis: Basis) -> Listing {
+        let id = match self.upstream_ids.get(&entry.host) {
             Some(id) => *id,
             None => {
-                self.next_upstream += 1;
-                self.names.insert(entry.host.clone(), UpstreamId(self.next_upstream));
-                UpstreamId(self.next_upstream)
+                self.last_upstream_id += 1;
+                self.upstream_ids.insert(entry.host.clone(), UpstreamId(self.last_upstream_id));
+                UpstreamId(self.last_upstream_id)
             }
         };
-        let started = self.started(id, entry.started_ms, basis);
+        let started = self.start_time(id, entry.started_ms, basis);
         let listing = Listing {
             upstream: id,
             zone: ZoneId(self.settings.zone_number(&entry.zone)),
@@ -105,52 +110,57 @@
             weight: entry.weight,
             started,
         };
-        let acting = self.acting.is_some();
+        let in_cluster = self.cluster.is_some();
         let server = self.servers.entry(id).or_insert_with(|| Server {
             host: Arc::from(entry.host.as_str()),
             listing: listing.clone(),
-            dial: entry.dial,
+            address: entry.dial,
             started_ms: entry.started_ms,
-            life: 0,
+            incarnation: 0,
             entry: None,
         });
-        // Connections to another address or another life lead nowhere, or to the wrong process.
-        if server.dial != entry.dial || server.started_ms != entry.started_ms {
-            server.life += 1;
+        // A connection to a previous address or incarnation leads nowhere, or to the wrong process.
+        if server.address != entry.dial || server.started_ms != entry.started_ms {
+            server.incarnation += 1;
         }
-        server.entry = acting.then(|| Box::new(entry.clone()));
-        (server.dial, server.started_ms, server.listing) = (entry.dial, entry.started_ms, listing.clone());
-        self.transport.update_upstream(id, server.peer());
+        server.entry = in_cluster.then(|| Box::new(entry.clone()));
+        (server.address, server.started_ms, server.listing) = (entry.dial, entry.started_ms, listing.clone());
+        self.transport.update_upstream(id, server.transport_info());
         listing
     }
 
-    /// When a server started, on the module's clock. What was judged before stands, unless a first list shows better.
-    fn started(&mut self, id: UpstreamId, started_ms: f64, basis: Basis) -> Option<Millis> {
+    /// Returns when a server started, on the balancer's clock. An earlier estimate for the same start stays,
+    /// unless a list whose starts may be of any age, such as the first one, gives a significantly different
+    /// estimate.
+    fn start_time(&mut self, id: UpstreamId, started_ms: f64, basis: Basis) -> Option<Millis> {
         let known = self.servers.get(&id).filter(|server| server.started_ms == started_ms);
         let before = known.map(|server| server.listing.started);
         if let (Some(before), Basis::Told { .. } | Basis::AfterSilence { .. }) = (before, basis) {
             return before;
         }
-        let now = self.millis(Instant::now());
-        let judged = self.ages.started(now, started_ms, basis);
-        before.filter(|before| !is_revised(*before, judged)).unwrap_or(judged)
+        let now = self.to_millis(Instant::now());
+        let estimate = self.server_ages.started(now, started_ms, basis);
+        before.filter(|before| !is_revised(*before, estimate)).unwrap_or(estimate)
     }
 
-    /// Takes in that an upstream wants nothing new; `None` for one that is not known.
-    fn leave_server(&mut self, name: &str) -> Option<Listing> {
-        let id = *self.names.get(name)?;
+    /// Marks a server as draining, so that it gets no new requests. Returns `None` if the host name is
+    /// unknown.
+    fn drain_server(&mut self, name: &str) -> Option<Listing> {
+        let id = *self.upstream_ids.get(name)?;
         let server = self.servers.get_mut(&id)?;
         server.listing.lifecycle = Lifecycle::Draining;
         if let Some(entry) = &mut server.entry {
             entry.serving = false;
         }
-        self.transport.update_upstream(id, server.peer());
+        self.transport.update_upstream(id, server.transport_info());
         Some(server.listing.clone())
     }
 
-    /// Forgets upstreams that are gone, so that names do not pile up.
-    fn forget(&mut self) {
-        let busy: HashSet<UpstreamId> = self.sent.values().map(|sent| sent.upstream).collect();
+    /// Forgets servers that are neither serving nor busy with an attempt, so that the tables do not grow
+    /// without bound.
+    fn forget_departed_servers(&mut self) {
+        let busy: HashSet<UpstreamId> =
+            self.in_flight_attempts.values().map(|attempt| attempt.upstream).collect();
         let transport = &self.transport;
         self.servers.retain(|id, server| {
             let kept = server.listing.lifecycle == Lifecycle::Serving || busy.contains(id);
@@ -159,19 +169,26 @@
             }
             kept
         });
-        self.names.retain(|_, id| self.servers.contains_key(id));
+        self.upstream_ids.retain(|_, id| self.servers.contains_key(id));
     }
 }
 
 impl Server {
-    /// The name of its zone, where rules may ask for it.
-    fn zone(&self) -> Option<Arc<str>> {
+    /// Returns the name of the server's zone. `None` if no cluster logic runs, since only residency rules
+    /// need it.
+    fn zone_name(&self) -> Option<Arc<str>> {
         self.entry.as_ref().map(|entry| Arc::from(entry.zone.as_str()))
     }
 
-    /// What a transport must know of it.
-    fn peer(&self) -> Peer {
+    /// Returns what the transport needs to know about the server.
+    fn transport_info(&self) -> Peer {
         let serving = self.listing.lifecycle == Lifecycle::Serving;
-        Peer { host: self.host.clone(), dial: self.dial, life: self.life, zone: self.zone(), serving }
+        Peer {
+            host: self.host.clone(),
+            dial: self.address,
+            life: self.incarnation,
+            zone: self.zone_name(),
+            serving,
+        }
     }
 }
--- a/crates/node/src/engine/mod.rs
+++ b/crates/node/src/engine/mod.rs
@@ -1,10 +1,14 @@
-//! The engine: owns the module, turns what happens into its events and carries out its actions in order.
+//! The engine: the event loop that drives the balancer.
 //!
-//! It names three seams and knows nothing of what lies behind them: the [`Intake`] that fronts hand requests to,
-//! the [`Transport`] that carries attempts, and the [`Roster`] that lists come from.
+//! The engine owns the [`Balancer`], which decides where requests go but performs no I/O. The engine
+//! translates what happens in the process into balancer events and executes the resulting actions in order.
+//!
+//! Three interfaces separate the engine from the rest of the process. It does not depend on their
+//! implementations: listeners submit requests to the [`Intake`], a [`Transport`] carries attempts to
+//! upstreams, and a [`Roster`] supplies the list of upstreams.
 
 mod attempts;
-mod company;
+mod cluster;
 mod counters;
 mod intake;
 mod key_window;
@@ -41,13 +45,13 @@
 use crate::module_settings::module_settings;
 use crate::operator::Capture as CaptureSettings;
 use crate::routing::Routing;
-use company::Acting;
+use cluster::ClusterHandle;
 use counters::Counters;
 use intake::Arrival;
 use server_age::ServerAges;
 
-pub use company::{Fleet, Standings};
-pub use intake::{Asked, Intake, Names};
+pub use cluster::{ClusterSetup, ClusterStatus};
+pub use intake::{Intake, RequestNames, ValidatedRequest};
 pub use key_window::{KeyWindow, WindowClosed};
 pub use members::{Datagram, Losses, Mailbox, Members};
 pub use message::{Answer, BODY_BYTES, End, Final, Forward, end_to_end};
@@ -60,318 +64,344 @@
 pub(crate) use ways::Seen;
 pub use ways::{Inbox, Orders, Ways};
 
-/// The module is told this much less than the client waits: its last word must reach the client in time.
-const IN_HAND: Duration = Duration::from_millis(8);
-/// What the module has not ended by then, the engine does.
-const BACKSTOP: Duration = Duration::from_millis(4);
-/// How often a line tells what was done.
-const REPORT: Duration = Duration::from_secs(5);
-/// How often idle connections are looked through.
-const SWEEP: Duration = Duration::from_millis(500);
-/// Something that the engine is told.
-enum Happening {
-    /// A request came in.
-    Arrived(Box<Arrival>),
-    /// Its client went away.
-    ClientLeft(RequestId),
+/// The balancer's deadline for a request is this much earlier than the client's, so that the final answer
+/// still reaches the client in time.
+const ANSWER_MARGIN: Duration = Duration::from_millis(8);
+/// If the balancer has not answered a request this long before the client's deadline, the engine fails the
+/// request itself.
+const BACKSTOP_MARGIN: Duration = Duration::from_millis(4);
+/// How often the counters are logged.
+const LOG_INTERVAL: Duration = Duration::from_secs(5);
+/// How often the transport closes idle connections and the capture is written to its files.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
+
+/// A message to the engine's event loop.
+enum EngineEvent {
+    /// A client sent a request.
+    RequestArrived(Box<Arrival>),
+    /// The client of this request disconnected before its answer.
+    ClientDisconnected(RequestId),
     /// An attempt ended.
-    Ended { flight: Flight, end: End },
-    /// A probe ended, with what came back.
-    Probed { upstream: UpstreamId, answer: Option<Answer> },
-    /// The roster told something.
-    Listed(List),
-    /// The list comes from elsewhere now.
-    Moved(Box<dyn Roster>),
-    /// Other routes are in force from now on.
-    Rerouted(Table),
-    /// The operators want to see the capture.
-    Dump,
-    /// Datagrams of other members wait.
-    Mail,
-    /// Discovery is in reach or out of it.
-    Reach(Reach),
-    /// Other rules of residency are in force from now on.
-    Ruled(Option<Rules>),
+    AttemptEnded { flight: Flight, end: End },
+    /// A load poll ended. `answer` is `None` if the server did not answer.
+    ProbeEnded { upstream: UpstreamId, answer: Option<Answer> },
+    /// The discovery source delivered a list or a change to it.
+    ListReceived(List),
+    /// A new discovery source replaces the current one.
+    DiscoverySourceReplaced(Box<dyn Roster>),
+    /// A new route table replaces the current one.
+    RoutesChanged(Table),
+    /// The operator requested a dump of the capture to the log.
+    DumpCapture,
+    /// Datagrams from other cluster members are waiting in the mailbox.
+    DatagramsReceived,
+    /// Discovery became reachable or unreachable.
+    DiscoveryReachability(Reach),
+    /// New residency rules replace the current ones.
+    RulesChanged(Option<Rules>),
 }
 
-/// A send that has not ended.
-struct Sent {
+/// An attempt that has not ended yet.
+struct InFlightAttempt {
     upstream: UpstreamId,
     forward: Arc<Forward>,
-    at: Instant,
-    /// Dropped or used to give it up; `None` once that was done.
-    give_up: Option<oneshot::Sender<()>>,
+    started_at: Instant,
+    /// Dropping this sender cancels the attempt. `None` once the attempt is cancelled.
+    cancel: Option<oneshot::Sender<()>>,
 }
 
-/// A request without its final answer.
-struct Open {
+/// A request that has not received its final answer.
+struct OpenRequest {
     class: ClassId,
     tenant: TenantId,
     forward: Arc<Forward>,
-    who: Arc<str>,
+    log_prefix: Arc<str>,
     reply: oneshot::Sender<Final>,
-    sends: u32,
-    at: Instant,
+    /// The number of attempts started so far.
+    attempts: u32,
+    /// When the last byte of the request was read.
+    received_at: Instant,
+    /// The balancer's deadline for the final answer.
     deadline: Instant,
-    timer: (Instant, u64),
-    /// How its attempts have ended, for the log.
-    trail: String,
-    /// Lives as long as this does, for transports to see.
-    lease: Arc<()>,
+    backstop_timer: (Instant, u64),
+    /// How the unsuccessful attempts ended, for the log.
+    attempt_log: String,
+    /// Dropped together with this struct. Transports hold a weak reference that shows them whether the
+    /// request still needs an answer.
+    answer_owed: Arc<()>,
     /// Alive while the client's own task waits.
     client: Weak<dyn Presence>,
-    /// Within which its attempts are written, for a class whose repeats upstreams discard by key.
+    /// The time window in which attempts may be written, for a class whose repeats upstreams discard by
+    /// idempotency key.
     key_window: Option<Arc<KeyWindow>>,
-    /// What its attempts have learnt of connections that rested.
+    /// Limits how long a connection may have been idle to be reused. All attempts of the request share it.
     rest_limit: RestLimit,
 }
 
-/// An upstream that the roster named.
+/// A server known from discovery or from other cluster members.
 struct Server {
     host: Arc<str>,
     listing: Listing,
-    dial: SocketAddr,
+    address: SocketAddr,
+    /// When the server last started, in Unix milliseconds, as listed by discovery.
     started_ms: f64,
-    life: u64,
-    /// As the roster told it, where a fleet wants to know.
+    /// Incremented when the address or the start time changes.
+    incarnation: u64,
+    /// The latest list entry. Kept only when cluster logic runs, which needs it.
     entry: Option<Box<Entry>>,
 }
 
 impl Server {
-    /// It, as the capture names it.
-    fn named(&self) -> Named<'static> {
+    /// Returns the server's id, name and address as the capture records them.
+    fn capture_name(&self) -> Named<'static> {
         Named {
             upstream: self.listing.upstream,
             host: self.host.to_string().into(),
-            dial: self.dial.to_string().into(),
+            dial: self.address.to_string().into(),
         }
     }
 }
 
+/// What to do when a timer fires.
 enum Timer {
-    Wake(u64),
+    /// Return this token to the balancer, which requested the timer.
+    BalancerWake(u64),
+    /// Fail the request if the balancer has not answered it.
     Backstop(RequestId),
+    /// Close idle connections and save the capture.
     Sweep,
-    Report,
-    Company,
+    LogCounters,
+    /// Wake the cluster logic, which requested the timer.
+    ClusterWake,
 }
 
-/// The engine.
+/// The event loop's state: the balancer, the open requests and their attempts, and the known servers.
 pub struct Engine {
-    module: Balancer,
+    balancer: Balancer,
     settings: SettingsObject,
-    columns: Vec<Column>,
+    report_columns: Vec<Column>,
     routing: Routing,
     intake: Arc<Intake>,
-    inbox: mpsc::UnboundedReceiver<Happening>,
+    inbox: mpsc::UnboundedReceiver<EngineEvent>,
     transport: Box<dyn Transport>,
-    roster: Box<dyn Roster>,
-    /// Where a roster that is followed anew goes on from.
+    discovery_source: Box<dyn Roster>,
+    /// The list version from which a new subscription to a discovery source resumes.
     resume_from: u64,
+    /// The current subscription to the discovery source.
     following: Option<Following>,
+    /// Time 0 of the balancer's clock.
     epoch: Instant,
-    /// How old servers are, by what discovery tells.
-    ages: ServerAges,
-    open: HashMap<RequestId, Open>,
-    sent: BTreeMap<(RequestId, AttemptNo), Sent>,
-    names: HashMap<String, UpstreamId>,
+    /// Derives the age of servers from what discovery reports.
+    server_ages: ServerAges,
+    open_requests: HashMap<RequestId, OpenRequest>,
+    in_flight_attempts: BTreeMap<(RequestId, AttemptNo), InFlightAttempt>,
+    /// The balancer's id of each server, by host name.
+    upstream_ids: HashMap<String, UpstreamId>,
     servers: BTreeMap<UpstreamId, Server>,
-    next_upstream: u64,
+    last_upstream_id: u64,
+    /// Pending timers by due time. The id keeps timers with the same due time apart.
     timers: BTreeMap<(Instant, u64), Timer>,
-    next_timer: u64,
+    last_timer_id: u64,
+    /// An empty buffer for the balancer's actions, reused between events.
     actions: Vec<Action>,
+    /// Counts since the last log line.
     counters: Counters,
     capture: Option<Capture>,
-    /// The fleet that it acts with, if it does.
-    acting: Option<Acting>,
+    /// Cluster membership and residency rules, if either is configured.
+    cluster: Option<ClusterHandle>,
 }
 
-/// What lies behind an engine's seams.
-pub struct Surroundings {
-    /// Where requests come in.
+/// The implementations and resources that an engine is created with.
+pub struct EngineDependencies {
+    /// Where listeners submit requests.
     pub intake: Arc<Intake>,
-    /// What the engine is told.
+    /// Where the engine receives its events.
     pub inbox: Inbox,
-    /// How upstreams are asked.
+    /// Carries attempts and load polls to upstreams.
     pub transport: Box<dyn Transport>,
-    /// Where the list comes from.
-    pub roster: Box<dyn Roster>,
-    /// What it acts with a fleet by, if it does.
-    pub fleet: Option<Fleet>,
-    /// The machine's wall clock, which is not read again.
+    /// Supplies the list of upstreams.
+    pub discovery_source: Box<dyn Roster>,
+    /// Cluster membership and residency rules, if either is configured.
+    pub cluster: Option<ClusterSetup>,
+    /// One reading of the machine's wall clock. The engine does not read the wall clock again.
     pub wall_clock: WallClock,
 }
 
 impl Engine {
-    /// An engine that knows the settings and nothing else.
+    /// Creates an engine that does not know any servers yet.
+    ///
+    /// # Errors
+    ///
+    /// The capture or the cluster logic cannot be started.
     pub fn new(
         settings: SettingsObject,
         seed: u64,
         table: Table,
-        surroundings: Surroundings,
+        dependencies: EngineDependencies,
         capture: Option<&CaptureSettings>,
     ) -> Result<Engine> {
         let epoch = Instant::now();
-        let epoch_unix_ms = surroundings.wall_clock.unix_ms_at(epoch);
-        let (told, routing) = module_settings(&settings, table);
-        let setup = |told| concert::Setup {
+        let epoch_unix_ms = dependencies.wall_clock.unix_ms_at(epoch);
+        let (balancer_settings, routing) = module_settings(&settings, table);
+        let setup = |balancer_settings| concert::Setup {
             peers: None,
             residency: None,
             incarnation: epoch_unix_ms as u64,
             seed,
-            settings: told,
+            settings: balancer_settings,
             classes: routing.class_names(),
             tenants: settings.tenant_names(),
             zones: settings.zone_names().to_vec(),
         };
-        let classes = || routing.names().to_vec();
+        let class_names = || routing.names().to_vec();
         let capture =
-            capture.map(|capture| Capture::start(capture, classes(), seed, epoch_unix_ms)).transpose()?;
-        let Surroundings { intake, inbox, transport, roster, fleet, wall_clock: _ } = surroundings;
-        let acting = fleet.map(|fleet| Acting::start(fleet, setup(&told))).transpose().context("peers")?;
-        let ages = ServerAges::new(epoch_unix_ms, told.slow_start.warm_up);
+            capture.map(|capture| Capture::start(capture, class_names(), seed, epoch_unix_ms)).transpose()?;
+        let EngineDependencies { intake, inbox, transport, discovery_source, cluster, wall_clock: _ } =
+            dependencies;
+        let cluster = cluster
+            .map(|cluster| ClusterHandle::start(cluster, setup(&balancer_settings)))
+            .transpose()
+            .context("peers")?;
+        let server_ages = ServerAges::new(epoch_unix_ms, balancer_settings.slow_start.warm_up);
         Ok(Engine {
-            module: Balancer::new(told, seed),
-            columns: settings.columns(),
+            balancer: Balancer::new(balancer_settings, seed),
+            report_columns: settings.columns(),
             routing,
             intake,
             inbox: inbox.0,
             transport,
-            roster,
+            discovery_source,
             resume_from: 0,
             following: None,
             epoch,
-            ages,
-            open: HashMap::new(),
-            sent: BTreeMap::new(),
-            names: HashMap::new(),
+            server_ages,
+            open_requests: HashMap::new(),
+            in_flight_attempts: BTreeMap::new(),
+            upstream_ids: HashMap::new(),
             servers: BTreeMap::new(),
-            next_upstream: 1,
+            last_upstream_id: 1,
             timers: BTreeMap::new(),
-            next_timer: 0,
+            last_timer_id: 0,
             actions: Vec::new(),
             counters: Counters::default(),
             capture,
-            acting,
+            cluster,
             settings,
         })
     }
 
-    /// Runs for good.
+    /// Runs the event loop until its task is aborted. `known` is the list of upstreams held before a restart,
+    /// if there is one.
     pub async fn run(mut self, known: Option<List>) {
-        self.company_woke();
-        self.listed(known.unwrap_or_default(), true);
+        self.wake_cluster();
+        self.apply_list(known.unwrap_or_default(), true);
         let serving = self.servers.values().any(|server| server.listing.lifecycle == Lifecycle::Serving);
-        self.follow(if serving { Start::Known } else { Start::Empty });
-        self.set_timer(Instant::now() + SWEEP, Timer::Sweep);
-        self.set_timer(Instant::now() + REPORT, Timer::Report);
+        self.follow_discovery(if serving { Start::Known } else { Start::Empty });
+        self.set_timer(Instant::now() + SWEEP_INTERVAL, Timer::Sweep);
+        self.set_timer(Instant::now() + LOG_INTERVAL, Timer::LogCounters);
         loop {
             let due = self.timers.keys().next().map(|key| key.0);
-            tokio::select! {
-                biased;
-                happening = self.inbox.recv() => match happening {
-                    Some(happening) => self.happened(happening),
-                    None => return,
-                },
-                () = sleep_until(due.unwrap_or_else(|| Instant::now() + SWEEP)) => {}
-            }
-            self.fire();
+            tokio::select! { biased ; event = self . inbox . recv ( ) => match event { Some ( event ) => self . handle_event ( event ) , None => return , } , ( ) = sleep_until ( due . unwrap_or_else ( || Instant :: now ( ) + SWEEP_INTERVAL ) ) => { } }
+            self.fire_due_timers();
         }
     }
 
-    /// Follows the roster from here on.
-    fn follow(&mut self, start: Start) {
-        self.following = Some(self.roster.follow(self.resume_from, start));
+    /// Subscribes to the discovery source, in place of the current subscription.
+    fn follow_discovery(&mut self, start: Start) {
+        self.following = Some(self.discovery_source.follow(self.resume_from, start));
     }
 
-    /// The module's clock.
-    fn millis(&self, at: Instant) -> Millis {
+    /// Converts an instant to the balancer's clock.
+    fn to_millis(&self, at: Instant) -> Millis {
         at.saturating_duration_since(self.epoch).as_secs_f64() * 1e3
     }
 
+    /// Schedules a timer and returns its key in `timers`.
     fn set_timer(&mut self, at: Instant, timer: Timer) -> (Instant, u64) {
-        self.next_timer += 1;
-        let key = (at, self.next_timer);
+        self.last_timer_id += 1;
+        let key = (at, self.last_timer_id);
         self.timers.insert(key, timer);
         key
     }
 
     /// Fires the timers that are due.
-    fn fire(&mut self) {
+    fn fire_due_timers(&mut self) {
         let now = Instant::now();
         while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().0 <= now) {
             match entry.remove() {
-                Timer::Wake(token) => self.event(Event::Woke(token)),
+                Timer::BalancerWake(token) => self.notify_balancer(Event::Woke(token)),
                 Timer::Backstop(request) => {
-                    // The module answers in time unless it is at fault or the process was held up.
-                    let forward = self.open.get(&request).map(|open| open.forward.clone());
+                    // The balancer answers in time unless it has a bug or the process was suspended.
+                    let forward = self.open_requests.get(&request).map(|open| open.forward.clone());
                     self.counters.overdue += u32::from(forward.is_some());
-                    self.finish(request, Final::Failed);
-                    self.leave(request, forward.as_deref(), "overdue");
+                    self.answer_request(request, Final::Failed);
+                    self.abandon_request(request, forward.as_deref(), "overdue");
                 }
                 Timer::Sweep => {
                     self.transport.sweep();
                     self.capture.iter_mut().for_each(Capture::save);
-                    self.set_timer(now + SWEEP, Timer::Sweep);
+                    self.set_timer(now + SWEEP_INTERVAL, Timer::Sweep);
                 }
-                Timer::Company => self.company_woke(),
-                Timer::Report => {
-                    self.report();
-                    self.set_timer(now + REPORT, Timer::Report);
+                Timer::ClusterWake => self.wake_cluster(),
+                Timer::LogCounters => {
+                    self.log_counters();
+                    self.set_timer(now + LOG_INTERVAL, Timer::LogCounters);
                 }
             }
         }
     }
 
-    /// Tells what was done since the last such line.
-    fn report(&mut self) {
+    /// Logs the counts since the previous such line. Without cluster logic, an idle period is not logged.
+    fn log_counters(&mut self) {
         let counters = std::mem::take(&mut self.counters);
         let connections = self.transport.counts();
-        if !counters.is_idle() || self.acting.is_some() {
+        if !counters.is_idle() || self.cluster.is_some() {
             let clients = self.intake.connections.len();
-            let (open, out, idle) = (self.open.len(), self.sent.len(), self.transport.idle());
-            let told = counters.told(&connections, self.routing.names());
-            let fleet =
-                self.acting.as_ref().map(|acting| format!("; {}", acting.shown())).unwrap_or_default();
-            info!("{told}; now open={open} out={out} clients={clients} idle={idle}{fleet}");
+            let (open, out, idle) =
+                (self.open_requests.len(), self.in_flight_attempts.len(), self.transport.idle());
+            let line = counters.log_line(&connections, self.routing.names());
+            let cluster =
+                self.cluster.as_ref().map(|cluster| format!("; {}", cluster.status())).unwrap_or_default();
+            info!("{line}; now open={open} out={out} clients={clients} idle={idle}{cluster}");
         }
     }
 
-    /// Hands an event to the module and does what it says.
-    fn event(&mut self, event: Event) {
-        self.event_of(event, None, None);
+    /// Passes an event to the balancer and executes the actions that it returns.
+    fn notify_balancer(&mut self, event: Event) {
+        self.notify_balancer_about(event, None, None);
     }
 
-    /// The same for an event about a request; `why` is for the capture.
-    fn event_of(&mut self, event: Event, request: Option<&Forward>, why: Option<&'static str>) {
-        let now = self.millis(Instant::now());
+    /// Like [`notify_balancer`](Engine::notify_balancer), for an event about `request`. The capture records
+    /// the request and the reason `why`.
+    fn notify_balancer_about(&mut self, event: Event, request: Option<&Forward>, why: Option<&'static str>) {
+        let now = self.to_millis(Instant::now());
         let mut actions = std::mem::take(&mut self.actions);
-        let kept = (self.capture.is_some() || self.acting.is_some()).then(|| event.clone());
-        self.module.handle(now, event, &mut actions);
-        if let (Some(acting), Some(event)) = (&self.acting, &kept) {
-            acting.observed(now, event, &actions);
+        let recorded = (self.capture.is_some() || self.cluster.is_some()).then(|| event.clone());
+        self.balancer.handle(now, event, &mut actions);
+        if let (Some(cluster), Some(event)) = (&self.cluster, &recorded) {
+            cluster.observe(now, event, &actions);
         }
-        if let Some(event) = kept {
-            self.keep(now, event, &actions, request, why);
+        if let Some(event) = recorded {
+            self.capture_event(now, event, &actions, request, why);
         }
         for action in actions.drain(..) {
-            self.act(action);
+            self.execute(action);
         }
         self.actions = actions;
     }
 
-    /// Adds an event to the capture.
-    fn keep(
+    /// Records an event and the resulting actions in the capture, if there is one.
+    fn capture_event(
         &mut self,
         now: Millis,
         event: Event,
-        did: &[Action],
+        actions: &[Action],
         request: Option<&Forward>,
         why: Option<&'static str>,
     ) {
         let (Some(capture), servers) = (&mut self.capture, &self.servers) else { return };
-        let classes = &self.intake.names;
-        let class = request.and_then(|request| classes.class_of(&request.target));
+        let names = &self.intake.names;
+        let class = request.and_then(|request| names.class_for_uri(&request.target));
         let listed = match &event {
             Event::Listed(
                 ListUpdate::Restored(list) | ListUpdate::Complete(list) | ListUpdate::Changed(list),
@@ -380,195 +410,208 @@
         };
         let about = About {
             id: request.map(Forward::id),
-            class: class.map(|class| classes.classes[class].0.as_str()),
+            class: class.map(|class| names.classes[class].0.as_str()),
             timeout_ms: request.and_then(Forward::timeout_ms),
             why,
             hosts: listed
                 .iter()
                 .filter_map(|listing| servers.get(&listing.upstream))
-                .map(Server::named)
+                .map(Server::capture_name)
                 .collect(),
         };
-        let name = |id| servers.get(&id).map(|server| &*server.host);
-        capture.record(&self.module, (now, event), did, about, name, || {
-            servers.values().map(Server::named).collect()
+        let host_name = |id| servers.get(&id).map(|server| &*server.host);
+        capture.record(&self.balancer, (now, event), actions, about, host_name, || {
+            servers.values().map(Server::capture_name).collect()
         });
     }
 
-    fn happened(&mut self, happening: Happening) {
-        match happening {
-            Happening::Arrived(arrival) => self.arrived(*arrival),
-            Happening::ClientLeft(request) => {
-                let open = self.open.remove(&request);
+    /// Handles one message from the inbox.
+    fn handle_event(&mut self, event: EngineEvent) {
+        match event {
+            EngineEvent::RequestArrived(arrival) => self.handle_request(*arrival),
+            EngineEvent::ClientDisconnected(request) => {
+                let open = self.open_requests.remove(&request);
                 if let Some(open) = &open {
-                    self.counters.of(open.class).left += 1;
-                    self.timers.remove(&open.timer);
+                    self.counters.for_class(open.class).left += 1;
+                    self.timers.remove(&open.backstop_timer);
                 }
-                self.leave(request, open.as_ref().map(|open| &*open.forward), "its client left");
+                self.abandon_request(request, open.as_ref().map(|open| &*open.forward), "its client left");
             }
-            Happening::Ended { flight, end } => self.ended(flight, end),
-            Happening::Probed { upstream, answer } => {
+            EngineEvent::AttemptEnded { flight, end } => self.finish_attempt(flight, end),
+            EngineEvent::ProbeEnded { upstream, answer } => {
                 let status = answer.as_ref().map(|answer| answer.status.as_u16());
                 let answered = status == Some(200);
                 let text = answer.filter(|_| answered);
                 let text = text.as_ref().and_then(|answer| std::str::from_utf8(&answer.body).ok());
-                let report = text.and_then(|text| report_from_text(&self.columns, text));
-                self.counters.probe_ended(status, report.is_some());
-                self.event(Event::LoadPolled { upstream, answered, report });
+                let report = text.and_then(|text| report_from_text(&self.report_columns, text));
+                self.counters.count_probe(status, report.is_some());
+                self.notify_balancer(Event::LoadPolled { upstream, answered, report });
             }
-            Happening::Listed(list) => self.listed(list, false),
-            Happening::Moved(roster) => {
-                self.roster = roster;
-                let before = self.following.take();
-                self.follow(Start::Moved(before));
+            EngineEvent::ListReceived(list) => self.apply_list(list, false),
+            EngineEvent::DiscoverySourceReplaced(source) => {
+                self.discovery_source = source;
+                let previous = self.following.take();
+                self.follow_discovery(Start::Moved(previous));
             }
-            Happening::Rerouted(table) => self.reroute(table),
-            Happening::Mail => self.mail(),
-            Happening::Reach(reach) => self.reach(reach),
-            Happening::Ruled(rules) => self.other_rules(rules),
-            Happening::Dump => match &self.capture {
+            EngineEvent::RoutesChanged(table) => self.apply_routes(table),
+            EngineEvent::DatagramsReceived => self.receive_datagrams(),
+            EngineEvent::DiscoveryReachability(reach) => self.update_discovery_reach(reach),
+            EngineEvent::RulesChanged(rules) => self.replace_residency_rules(rules),
+            EngineEvent::DumpCapture => match &self.capture {
                 Some(capture) => capture.dump(),
                 None => info!("SIGUSR1: capture is off"),
             },
         }
     }
 
-    /// Goes over to other routes.
-    fn reroute(&mut self, table: Table) {
-        let module = &mut self.module;
-        let change = self.routing.change(table, module.classes(), |class| module.is_class_in_use(class));
-        let told = change.classes.len();
+    /// Replaces the route table. Updates the classes and budgets of the balancer, the class names of the
+    /// cluster logic, and the capture to match.
+    fn apply_routes(&mut self, table: Table) {
+        let balancer = &mut self.balancer;
+        let change = self.routing.change(table, balancer.classes(), |class| balancer.is_class_in_use(class));
+        let changed = change.classes.len();
         for (id, class, known) in change.classes {
-            module.set_class(id, class, known);
+            balancer.set_class(id, class, known);
         }
-        module.set_budgets(change.retry_budget, change.copy_budget);
-        self.tell_company(concert::Input::Classes(self.routing.class_names()));
-        info!("routes: {} in force, {told} classes of them new or changed", self.routing.count());
-        let now = self.millis(Instant::now());
+        balancer.set_budgets(change.retry_budget, change.copy_budget);
+        self.notify_cluster(concert::Input::Classes(self.routing.class_names()));
+        info!("routes: {} in force, {changed} classes added or changed", self.routing.count());
+        let now = self.to_millis(Instant::now());
         if let Some(capture) = &mut self.capture {
             let servers = &self.servers;
             let names = self.routing.names().to_vec();
-            capture.reroute(&self.module, now, names, || servers.values().map(Server::named).collect());
+            capture
+                .reroute(&self.balancer, now, names, || servers.values().map(Server::capture_name).collect());
         }
     }
 
-    fn arrived(&mut self, arrival: Arrival) {
-        let Arrival { request, asked, reply, client } = arrival;
-        let Asked { class, tenant, at, time_left, who, forward } = asked;
-        let deadline = at + time_left.saturating_sub(IN_HAND);
-        let timer = self.set_timer(at + time_left.saturating_sub(BACKSTOP), Timer::Backstop(request));
-        let (forward, trail) = (Arc::new(forward), String::new());
-        let kept = forward.clone();
-        let class = self.routing.class_of(class, kept.target.path(), &kept.headers);
-        self.counters.of(class).arrived += 1;
-        let lease = Arc::new(());
+    /// Registers a new request and passes it to the balancer.
+    fn handle_request(&mut self, arrival: Arrival) {
+        let Arrival { request, validated, reply, client } = arrival;
+        let ValidatedRequest { class, tenant, received_at, time_left, log_prefix, forward } = validated;
+        let deadline = received_at + time_left.saturating_sub(ANSWER_MARGIN);
+        let backstop_timer =
+            self.set_timer(received_at + time_left.saturating_sub(BACKSTOP_MARGIN), Timer::Backstop(request));
+        let (forward, attempt_log) = (Arc::new(forward), String::new());
+        let forwarded = forward.clone();
+        let class = self.routing.class_of(class, forwarded.target.path(), &forwarded.headers);
+        self.counters.for_class(class).arrived += 1;
+        let answer_owed = Arc::new(());
         let key_window = self.key_window(class);
-        let open = Open {
+        let open = OpenRequest {
             class,
             tenant,
             forward,
-            who,
+            log_prefix,
             reply,
-            sends: 0,
-            at,
+            attempts: 0,
+            received_at,
             deadline,
-            timer,
-            trail,
-            lease,
+            backstop_timer,
+            attempt_log,
+            answer_owed,
             client,
             key_window,
             rest_limit: RestLimit::default(),
         };
-        self.open.insert(request, open);
+        self.open_requests.insert(request, open);
         let time_left = deadline.saturating_duration_since(Instant::now()).as_secs_f64() * 1e3;
-        let repeat = kept.is_repeat();
-        self.event_of(
+        let repeat = forwarded.is_repeat();
+        self.notify_balancer_about(
             Event::Arrived { request, class, tenant, time_left, is_retry: repeat },
-            Some(&kept),
+            Some(&forwarded),
             None,
         );
     }
 
-    /// Tells the module that a request is over without it, and ends what is out for it.
-    fn leave(&mut self, request: RequestId, forward: Option<&Forward>, why: &'static str) {
-        self.event_of(Event::Abandoned(request), forward, Some(why));
-        self.give_up_all(request);
+    /// Notifies the balancer that a request ended without the balancer's answer, and cancels the attempts of
+    /// the request that are still in flight.
+    fn abandon_request(&mut self, request: RequestId, forward: Option<&Forward>, why: &'static str) {
+        self.notify_balancer_about(Event::Abandoned(request), forward, Some(why));
+        self.cancel_attempts(request);
     }
 
-    fn give_up_all(&mut self, request: RequestId) {
+    /// Cancels all attempts of a request that are in flight.
+    fn cancel_attempts(&mut self, request: RequestId) {
         let first = (request, AttemptNo(0));
-        for (_, sent) in self.sent.range_mut(first..=(request, AttemptNo(u32::MAX))) {
-            sent.give_up = None;
+        for (_, attempt) in self.in_flight_attempts.range_mut(first..=(request, AttemptNo(u32::MAX))) {
+            attempt.cancel = None;
         }
     }
 
-    /// Answers a request, if it is still owed one.
-    fn finish(&mut self, request: RequestId, answer: Final) -> bool {
-        let Some(open) = self.open.remove(&request) else { return false };
-        self.timers.remove(&open.timer);
-        let aim =
-            self.module.classes().get(open.class.0).map_or(Millis::INFINITY, |class| class.latency_objective);
-        let tally = self.counters.of(open.class);
+    /// Sends the final answer of a request and counts it, if the request is still open. Returns whether the
+    /// answer reached the client's task.
+    fn answer_request(&mut self, request: RequestId, answer: Final) -> bool {
+        let Some(open) = self.open_requests.remove(&request) else { return false };
+        self.timers.remove(&open.backstop_timer);
+        let latency_objective = self
+            .balancer
+            .classes()
+            .get(open.class.0)
+            .map_or(Millis::INFINITY, |class| class.latency_objective);
+        let counts = self.counters.for_class(open.class);
         match &answer {
             Final::Served(..) => {
-                tally.served += 1;
-                tally.late += u32::from(open.at.elapsed().as_secs_f64() * 1e3 > aim);
+                counts.served += 1;
+                counts.late += u32::from(open.received_at.elapsed().as_secs_f64() * 1e3 > latency_objective);
             }
             Final::Refused(_, reason) => {
-                tally.refused += 1;
+                counts.refused += 1;
                 match reason {
                     Reason::Overload => {}
-                    Reason::Residency => tally.outside += 1,
-                    Reason::Shed => tally.shed += 1,
+                    Reason::Residency => counts.outside_residency += 1,
+                    Reason::Shed => counts.shed += 1,
                 }
             }
-            Final::Failed => tally.failed += 1,
+            Final::Failed => counts.failed += 1,
         }
         if !matches!(answer, Final::Served(..)) {
-            tally.unsent += u32::from(open.sends == 0);
-            warn!("{}", Obituary { open: &open, answer: &answer });
+            counts.unsent += u32::from(open.attempts == 0);
+            warn!("{}", FailureReport { open: &open, answer: &answer });
         }
-        // The client may have gone in this very moment.
+        // Fails if the client disconnected just now.
         open.reply.send(answer).is_ok()
     }
 
-    fn act(&mut self, action: Action) {
+    /// Executes one of the balancer's actions.
+    fn execute(&mut self, action: Action) {
         match action {
-            Action::Send { request, upstream, timeout } => self.send(request, upstream, timeout),
+            Action::Send { request, upstream, timeout } => self.start_attempt(request, upstream, timeout),
             Action::Cancel { request, attempt } => {
-                if let Some(sent) = self.sent.get_mut(&(request, attempt)) {
-                    sent.give_up = None;
+                if let Some(attempt) = self.in_flight_attempts.get_mut(&(request, attempt)) {
+                    attempt.cancel = None;
                 }
             }
             Action::Refuse { request, retry_after, reason } => {
-                self.finish(request, Final::Refused(retry_after, reason));
+                self.answer_request(request, Final::Refused(retry_after, reason));
             }
             Action::Fail(request) => {
-                self.finish(request, Final::Failed);
+                self.answer_request(request, Final::Failed);
             }
-            Action::PollLoad(upstream) => self.probe(upstream),
+            Action::PollLoad(upstream) => self.start_probe(upstream),
             Action::WakeAt { at, token } => {
                 let after = Duration::try_from_secs_f64(at / 1e3).unwrap_or_default();
                 let at = self.epoch.checked_add(after).unwrap_or_else(Instant::now);
-                self.set_timer(at, Timer::Wake(token));
+                self.set_timer(at, Timer::BalancerWake(token));
             }
             Action::Log { about, text } => {
-                let open = about.and_then(|request| self.open.get(&request));
-                info!("{}{text}", open.map_or("", |open| &*open.who));
+                let open = about.and_then(|request| self.open_requests.get(&request));
+                info!("{}{text}", open.map_or("", |open| &*open.log_prefix));
             }
         }
     }
 }
 
-/// The line about a request that was not served. Most of them are left out under overload, and cost no words.
-struct Obituary<'a> {
-    open: &'a Open,
+/// The log line about a request that was not served. The text is built only when the line is written: under
+/// overload the log omits most of these lines.
+struct FailureReport<'a> {
+    open: &'a OpenRequest,
     answer: &'a Final,
 }
 
-impl Display for Obituary<'_> {
+impl Display for FailureReport<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> std::fmt::Result {
-        let Open { who, forward, at, deadline, trail, .. } = self.open;
+        let OpenRequest { log_prefix, forward, received_at, deadline, attempt_log, .. } = self.open;
         let (id, path) = (forward.id(), forward.target.path());
         let end = match self.answer {
             Final::Failed => "failed",
@@ -576,9 +619,9 @@
             Final::Refused(_, Reason::Shed) => "refused (shed by the fleet)",
             Final::Refused(_, Reason::Overload) | Final::Served(..) => "refused",
         };
-        let after = at.elapsed().as_millis();
+        let after = received_at.elapsed().as_millis();
         let left = deadline.saturating_duration_since(Instant::now()).as_millis();
-        let trail = if trail.is_empty() { " no attempt" } else { trail };
-        write!(f, "{who}request {id} {path}: {end} after {after} ms, {left} ms left;{trail}")
+        let attempts = if attempt_log.is_empty() { " no attempt" } else { attempt_log };
+        write!(f, "{log_prefix}request {id} {path}: {end} after {after} ms, {left} ms left;{attempts}")
     }
 }
