--- a/crates/node/src/engine/company.rs
+++ b/crates/node/src/engine/company.rs
@@ -50,7 +50,7 @@
             figures.extend([
                 ("living", peers.living as f64),
                 ("level", peers.level),
-                ("coordinates", f64::from(u8::from(peers.role == Role::Coordinates))),
+                ("coordinates", f64::from(u8::from(peers.role == Role::Coordinator))),
                 ("term", peers.term.number as f64),
                 ("words_refused", peers.refused_words as f64),
                 ("datagrams_in", peers.datagrams_in as f64),
@@ -75,10 +75,10 @@
             let Losses { unheard, strangers, unsent, failed } = losses;
             let (living, members, level) = (peers.living, peers.members, peers.level);
             let role = match peers.role {
-                Role::Alone => "alone",
-                Role::Follows => "follows",
-                Role::Stands => "stands",
-                Role::Coordinates => "coordinates",
+                Role::Unattached => "alone",
+                Role::Follower => "follows",
+                Role::Candidate => "stands",
+                Role::Coordinator => "coordinates",
             };
             let (term, refused) = (peers.term.number, peers.refused_words);
             words.push(format!("fleet living={living}/{members} level={level:.2}"));
--- a/crates/peers/src/coordinator/api.rs
+++ b/crates/peers/src/coordinator/api.rs
@@ -7,13 +7,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Role {
     /// It hears no coordinator: all is as without peers.
-    Alone,
+    Unattached,
     /// It hears one.
-    Follows,
+    Follower,
     /// It has called for votes.
-    Stands,
+    Candidate,
     /// It is the one.
-    Coordinates,
+    Coordinator,
 }
 
 /// Something that happened.
@@ -32,25 +32,25 @@
     Woke,
     /// How a member sees discovery, this one included; whenever that changes. Members of other regions may be told
     /// too.
-    Reach {
+    DiscoveryReach {
         /// Who.
         member: MemberId,
         /// How.
         reach: Reach,
     },
     /// Whether a member lives, whenever that changes; all do until told otherwise.
-    Alive {
+    Liveness {
         /// Who.
         member: MemberId,
         /// Whether.
         alive: bool,
     },
     /// This member's own discovery told a list or what changed in it: that it answers goes with it.
-    Listed {
+    ListUpdate {
         /// Its version.
         version: u64,
         /// Whether who is missing is gone.
-        whole: bool,
+        complete: bool,
         /// Its entries.
         entries: Vec<Entry>,
     },
@@ -58,16 +58,16 @@
     /// fact was taken back or expired).
     Evidence {
         /// Who saw it.
-        by: MemberId,
+        reporter: MemberId,
         /// Which server.
         server: ServerKey,
         /// How it stands.
         standing: Option<Standing>,
     },
     /// A fact of the kind `LIST` of another member, whenever it changes; empty: gone.
-    List {
+    ListFact {
         /// Whose.
-        by: MemberId,
+        member: MemberId,
         /// The fact's body.
         body: Vec<u8>,
     },
@@ -86,9 +86,9 @@
     /// Hand back [`Input::Woke`] at this time or soon after; an earlier one stays good.
     WakeAt(Millis),
     /// How to ask discovery from now on.
-    Ask(Asking),
+    SetPolling(Asking),
     /// A server stands differently than this member was told.
-    Server {
+    ServerChanged {
         /// The entry, with where it now stands.
         entry: Entry,
         /// Who says so.
@@ -97,5 +97,5 @@
     /// Spread a fact of this member's own.
     Publish(Fact),
     /// A line for the operators.
-    Note(String),
+    Log(String),
 }
--- a/crates/peers/src/coordinator/election.rs
+++ b/crates/peers/src/coordinator/election.rs
@@ -131,7 +131,7 @@
             _ if !(free && self.needed(now)) => self.stand_at = None,
             None => {
                 self.attempts += 1;
-                let delay = super::draw(self.setup.seed, self.attempts) % self.setup.election;
+                let delay = super::splitmix64(self.setup.seed, self.attempts) % self.setup.election;
                 self.stand_at = Some(now + self.setup.election + delay);
             }
             Some(at) if now >= at => self.stand(now, out),
--- a/crates/peers/src/coordinator/follow.rs
+++ b/crates/peers/src/coordinator/follow.rs
@@ -114,7 +114,7 @@
             && now.saturating_sub(self.obeyed.at) >= LAPSE * self.setup.lease
         {
             self.obeyed.end();
-            out.push(Output::Note("no coordinator for long: what one withdrew is used again".to_owned()));
+            out.push(Output::Log("no coordinator for long: what one withdrew is used again".to_owned()));
         }
     }
 
@@ -134,7 +134,7 @@
         for server in &changed {
             if let Some(mut entry) = self.lists.entry(*server) {
                 entry.standing = self.in_force.get(server).copied().unwrap_or(entry.standing);
-                out.push(Output::Server { entry, why: Because::NewerList });
+                out.push(Output::ServerChanged { entry, why: Because::NewerList });
             }
         }
         let servers: BTreeSet<ServerKey> = before.keys().chain(self.in_force.keys()).copied().collect();
@@ -146,7 +146,7 @@
             let Some(mut entry) = self.lists.entry(*server) else { continue };
             entry.standing = now.unwrap_or(entry.standing);
             let why = if now.is_some() { Because::Withdrawn } else { Because::GivenBack };
-            out.push(Output::Server { entry, why });
+            out.push(Output::ServerChanged { entry, why });
         }
     }
 }
--- a/crates/peers/src/coordinator/mod.rs
+++ b/crates/peers/src/coordinator/mod.rs
@@ -144,7 +144,7 @@
 }
 
 /// The `n`th number that follows from a seed (splitmix64, Steele et al. 2014).
-pub(crate) fn draw(seed: u64, n: u64) -> u64 {
+pub(crate) fn splitmix64(seed: u64, n: u64) -> u64 {
     let mut z = seed.wrapping_add(n.wrapping_mul(0x9e37_79b9_7f4a_7c15));
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -219,8 +219,8 @@
             Input::Message { from, incarnation, message } => {
                 self.message(now, from, incarnation, message, &mut changed, out);
             }
-            Input::Reach { member, reach } => self.reach(now, member, reach),
-            Input::Alive { member, alive } => {
+            Input::DiscoveryReach { member, reach } => self.reach(now, member, reach),
+            Input::Liveness { member, alive } => {
                 if alive {
                     self.gone.remove(&member);
                 } else if member != self.setup.me {
@@ -228,20 +228,20 @@
                     self.lists.gone(member);
                 }
             }
-            Input::Listed { version, whole, entries } => {
+            Input::ListUpdate { version, complete, entries } => {
                 self.reach(now, self.setup.me, Reach::Up);
-                self.lists.listed(version, whole, &entries, &mut changed, out);
+                self.lists.listed(version, complete, &entries, &mut changed, out);
                 for server in changed.drain(..) {
                     self.evidence.forget(server);
                 }
             }
-            Input::Evidence { by, server, standing } => {
-                if self.setup.region.contains(&by) {
-                    self.evidence.saw(by, server, standing);
+            Input::Evidence { reporter, server, standing } => {
+                if self.setup.region.contains(&reporter) {
+                    self.evidence.saw(reporter, server, standing);
                     self.judge(now, server);
                 }
             }
-            Input::List { by, body } => self.lists.fact(by, &body),
+            Input::ListFact { member, body } => self.lists.fact(member, &body),
         }
         for server in &changed {
             self.relisted(now, *server);
@@ -264,10 +264,10 @@
     /// What this member is, as of the last call.
     pub fn role(&self) -> Role {
         match (&self.office, &self.candidacy, &self.heard) {
-            (Some(_), ..) => Role::Coordinates,
-            (_, Some(_), _) => Role::Stands,
-            (_, _, Some(_)) => Role::Follows,
-            _ => Role::Alone,
+            (Some(_), ..) => Role::Coordinator,
+            (_, Some(_), _) => Role::Candidate,
+            (_, _, Some(_)) => Role::Follower,
+            _ => Role::Unattached,
         }
     }
 
@@ -287,7 +287,7 @@
     }
 
     /// How many words and renewals of older terms it refused.
-    pub fn refused(&self) -> u64 {
+    pub fn stale_rejected(&self) -> u64 {
         self.refused.0
     }
 
@@ -355,13 +355,13 @@
 
     fn ask(&mut self, now: Millis, out: &mut Vec<Output>) {
         let asking = match self.role() {
-            Role::Coordinates if self.acting(now) => Asking::Often,
-            Role::Follows if self.own_reach() == Some(Reach::Down) => Asking::Seldom,
+            Role::Coordinator if self.acting(now) => Asking::Often,
+            Role::Follower if self.own_reach() == Some(Reach::Down) => Asking::Seldom,
             _ => Asking::Usual,
         };
         if asking != self.asked {
             self.asked = asking;
-            out.push(Output::Ask(asking));
+            out.push(Output::SetPolling(asking));
         }
     }
 
--- a/crates/peers/src/coordinator/office.rs
+++ b/crates/peers/src/coordinator/office.rs
@@ -60,7 +60,7 @@
             && let Some(office) = self.office.take()
         {
             self.heard = None;
-            out.push(Output::Note(format!(
+            out.push(Output::Log(format!(
                 "coordinator no more: no majority of the region renewed the lease of term {}",
                 office.term.number
             )));
@@ -75,7 +75,7 @@
 
     pub(super) fn take_office(&mut self, now: Millis, candidacy: Candidacy, out: &mut Vec<Output>) {
         let term = candidacy.term;
-        out.push(Output::Note(format!(
+        out.push(Output::Log(format!(
             "coordinator of the region in term {}: discovery is out of reach for most of it",
             term.number
         )));
@@ -278,7 +278,7 @@
             Some(Reach::Up) => "discovery is back",
             _ => "most of the region has discovery again",
         };
-        out.push(Output::Note(format!("coordinator no more: term {} ends, {why}", office.term.number)));
+        out.push(Output::Log(format!("coordinator no more: term {} ends, {why}", office.term.number)));
         self.promise = None;
         self.obeyed.end();
         self.restart_outage(now);
--- a/crates/peers/src/coordinator/tests.rs
+++ b/crates/peers/src/coordinator/tests.rs
@@ -13,9 +13,9 @@
     /// Members that are not called: nothing reaches them and their timers pass.
     pub stopped: BTreeSet<u16>,
     /// What was said to each process.
-    pub outs: Vec<Vec<Output>>,
+    pub outputs: Vec<Vec<Output>>,
     /// One message in so many is lost, by chance; 0: none.
-    pub lost: u64,
+    pub lose_one_in: u64,
     pub sent: u64,
     wakes: BTreeMap<u16, Millis>,
     net: Vec<(Millis, u16, u16, u64, Message)>,
@@ -68,8 +68,8 @@
             now: 1_000_000,
             nodes: (0..members).map(|id| Coordinator::new(config(id, members), 1_000_000, 1, 7)).collect(),
             stopped: BTreeSet::new(),
-            outs: vec![Vec::new(); usize::from(members)],
-            lost: 0,
+            outputs: vec![Vec::new(); usize::from(members)],
+            lose_one_in: 0,
             sent: 0,
             wakes: (0..members).map(|id| (id, 0)).collect(),
             net: Vec::new(),
@@ -82,7 +82,7 @@
         fleet
     }
 
-    pub fn give(&mut self, id: u16, input: Input) {
+    pub fn input(&mut self, id: u16, input: Input) {
         let node = &mut self.nodes[usize::from(id)];
         let mut out = Vec::new();
         node.handle(self.now, input, &mut out);
@@ -92,7 +92,7 @@
                     let size = postcard::to_allocvec(&message).expect("it encodes").len();
                     assert!(size <= 200, "{size} bytes: {message:?}");
                     self.sent += 1;
-                    if self.lost == 0 || !draw(3, self.sent).is_multiple_of(self.lost) {
+                    if self.lose_one_in == 0 || !splitmix64(3, self.sent).is_multiple_of(self.lose_one_in) {
                         let life = node.setup.incarnation;
                         self.net.push((self.now + 5, id, to.0, life, message));
                     }
@@ -101,35 +101,35 @@
                     let wake = self.wakes.entry(id).or_insert(at);
                     *wake = at.min(*wake);
                 }
-                other => self.outs[usize::from(id)].push(other),
+                other => self.outputs[usize::from(id)].push(other),
             }
         }
     }
 
     pub fn all(&mut self, input: &Input) {
-        for id in 0..self.outs.len() as u16 {
-            self.give(id, input.clone());
+        for id in 0..self.outputs.len() as u16 {
+            self.input(id, input.clone());
         }
     }
 
     /// All members hear how one sees discovery.
-    pub fn reach(&mut self, member: u16, reach: Reach) {
-        self.all(&Input::Reach { member: MemberId(member), reach });
+    pub fn set_reach(&mut self, member: u16, reach: Reach) {
+        self.all(&Input::DiscoveryReach { member: MemberId(member), reach });
     }
 
     pub fn outage(&mut self) {
-        for member in 0..self.outs.len() as u16 {
-            self.reach(member, Reach::Down);
+        for member in 0..self.outputs.len() as u16 {
+            self.set_reach(member, Reach::Down);
         }
     }
 
     /// All hear what one saw.
     pub fn saw(&mut self, by: u16, server: u16, standing: Option<Standing>) {
-        self.all(&Input::Evidence { by: MemberId(by), server: key(server), standing });
+        self.all(&Input::Evidence { reporter: MemberId(by), server: key(server), standing });
     }
 
     pub fn restart(&mut self, id: u16) {
-        let members = self.outs.len() as u16;
+        let members = self.outputs.len() as u16;
         let life = self.nodes[usize::from(id)].setup.incarnation + 1;
         self.nodes[usize::from(id)] = Coordinator::new(config(id, members), self.now, life, 7);
         self.wakes.insert(id, self.now);
@@ -144,14 +144,14 @@
             self.net = later;
             for (_, from, to, incarnation, message) in due {
                 if !self.stopped.contains(&to) && !self.stopped.contains(&from) {
-                    self.give(to, Input::Message { from: MemberId(from), incarnation, message });
+                    self.input(to, Input::Message { from: MemberId(from), incarnation, message });
                 }
             }
             let woken: Vec<u16> =
                 self.wakes.iter().filter(|(_, at)| **at <= now).map(|(id, _)| *id).collect();
             for id in woken.into_iter().filter(|id| !self.stopped.contains(id)).collect::<Vec<_>>() {
                 self.wakes.remove(&id);
-                self.give(id, Input::Woke);
+                self.input(id, Input::Woke);
             }
             let acting = self.nodes.iter().filter(|node| node.acting(now)).count();
             assert!(acting <= 1, "{acting} coordinators");
@@ -163,9 +163,9 @@
     }
 
     /// How a member's process was last told that a server stands, and by whom.
-    pub fn told(&self, id: u16, server: u16) -> Option<(Standing, Because)> {
-        self.outs[usize::from(id)].iter().rev().find_map(|output| match output {
-            Output::Server { entry, why } if ServerKey::of(&entry.host) == key(server) => {
+    pub fn notified(&self, id: u16, server: u16) -> Option<(Standing, Because)> {
+        self.outputs[usize::from(id)].iter().rev().find_map(|output| match output {
+            Output::ServerChanged { entry, why } if ServerKey::of(&entry.host) == key(server) => {
                 Some((entry.standing, *why))
             }
             _ => None,
@@ -173,8 +173,8 @@
     }
 
     fn asks(&self, id: u16) -> Option<Asking> {
-        self.outs[usize::from(id)].iter().rev().find_map(|output| match output {
-            Output::Ask(asking) => Some(*asking),
+        self.outputs[usize::from(id)].iter().rev().find_map(|output| match output {
+            Output::SetPolling(asking) => Some(*asking),
             _ => None,
         })
     }
@@ -183,7 +183,7 @@
 /// A region that holds a list of so many servers and has a coordinator.
 fn governed(members: u16, servers: u16) -> (Fleet, u16) {
     let mut fleet = Fleet::new(members);
-    fleet.all(&Input::Listed { version: 1, whole: true, entries: list(servers) });
+    fleet.all(&Input::ListUpdate { version: 1, complete: true, entries: list(servers) });
     fleet.outage();
     fleet.run(2_500);
     let first = fleet.coordinator().expect("one is elected");
@@ -197,7 +197,7 @@
     {
         let mut fleet = Fleet::new(members);
         for member in 0..members {
-            fleet.reach(member, if member < down { Reach::Down } else { Reach::Up });
+            fleet.set_reach(member, if member < down { Reach::Down } else { Reach::Up });
         }
         fleet.run(1_499);
         assert_eq!(fleet.coordinator(), None, "the outage is not old enough");
@@ -237,13 +237,13 @@
     assert_ne!(second, first);
     fleet.stopped.clear();
     let sent = fleet.sent;
-    fleet.give(first, Input::Woke);
+    fleet.input(first, Input::Woke);
     let node = &fleet.nodes[usize::from(first)];
-    assert_ne!(node.role(), Role::Coordinates);
+    assert_ne!(node.role(), Role::Coordinator);
     assert!(fleet.sent <= sent + 1, "no renewal, at most a question about the list");
     fleet.run(1_000);
     assert_eq!(fleet.coordinator(), Some(second));
-    assert_eq!(fleet.nodes[usize::from(first)].role(), Role::Follows);
+    assert_eq!(fleet.nodes[usize::from(first)].role(), Role::Follower);
     assert_eq!(fleet.nodes[usize::from(first)].term(), fleet.nodes[usize::from(second)].term());
 }
 
@@ -255,12 +255,12 @@
     // The member knows a higher term of a candidate that was never elected.
     let late = Term { number: term.number + 3, candidate: MemberId((first + 2) % 3), incarnation: 1 };
     let message = Message::Renew { term: late, to: 1, at: 0, lasts: 0, words: 0, list: Default::default() };
-    fleet.give(member, Input::Message { from: late.candidate, incarnation: 1, message });
+    fleet.input(member, Input::Message { from: late.candidate, incarnation: 1, message });
     let word = Word { number: 1, server: key(0), standing: Standing::Gone };
     let old = Message::Words { term, to: 1, after: 0, upto: 1, words: vec![word] };
-    fleet.give(member, Input::Message { from: MemberId(first), incarnation: 1, message: old });
+    fleet.input(member, Input::Message { from: MemberId(first), incarnation: 1, message: old });
     let node = &fleet.nodes[usize::from(member)];
-    assert_eq!((node.refused(), node.withdrawn()), (1, Vec::new()));
+    assert_eq!((node.stale_rejected(), node.withdrawn()), (1, Vec::new()));
     fleet.run(1_000);
     assert_eq!(fleet.coordinator(), Some(first));
     let now = fleet.nodes[usize::from(first)].term();
@@ -271,13 +271,13 @@
 #[test]
 fn a_word_to_a_former_run_or_in_anothers_name_is_not_obeyed() {
     let mut fleet = Fleet::new(3);
-    fleet.all(&Input::Listed { version: 1, whole: true, entries: list(4) });
+    fleet.all(&Input::ListUpdate { version: 1, complete: true, entries: list(4) });
     let term = Term { number: 9, candidate: MemberId(0), incarnation: 1 };
     let word = Word { number: 1, server: key(0), standing: Standing::Gone };
     // To which run, from whom and in which run of it.
     for (to, from, incarnation) in [(0, 0, 1), (2, 0, 1), (1, 2, 1), (1, 0, 2)] {
         let message = Message::Words { term, to, after: 0, upto: 1, words: vec![word] };
-        fleet.give(1, Input::Message { from: MemberId(from), incarnation, message });
+        fleet.input(1, Input::Message { from: MemberId(from), incarnation, message });
         assert!(fleet.nodes[1].withdrawn().is_empty(), "{to} {from} {incarnation}");
     }
 }
@@ -285,20 +285,20 @@
 #[test]
 fn two_members_evidence_withdraws_for_all_and_the_coordinator_gives_back() {
     let (mut fleet, first) = governed(5, 4);
-    fleet.lost = 3;
+    fleet.lose_one_in = 3;
     fleet.saw(0, 1, Some(Standing::Gone));
     fleet.run(3_000);
-    assert_eq!(fleet.told(2, 1), None, "one alone");
+    assert_eq!(fleet.notified(2, 1), None, "one alone");
     fleet.saw(1, 1, Some(Standing::Draining));
     // One that was restarted, and one that heard nothing meanwhile, come level.
     let other = (first + 1) % 5;
     fleet.run(3_000);
     fleet.restart(other);
-    fleet.give(other, Input::Listed { version: 1, whole: true, entries: list(4) });
-    fleet.give(other, Input::Reach { member: MemberId(other), reach: Reach::Down });
+    fleet.input(other, Input::ListUpdate { version: 1, complete: true, entries: list(4) });
+    fleet.input(other, Input::DiscoveryReach { member: MemberId(other), reach: Reach::Down });
     fleet.run(3_000);
     for id in 0..5 {
-        assert_eq!(fleet.told(id, 1), Some((Standing::Draining, Because::Withdrawn)), "{id}");
+        assert_eq!(fleet.notified(id, 1), Some((Standing::Draining, Because::Withdrawn)), "{id}");
     }
     // Half of four servers stay, whatever is seen.
     for server in 0..4 {
@@ -313,7 +313,7 @@
     }
     fleet.run(3_000);
     for id in 0..5 {
-        assert_eq!(fleet.told(id, 1), Some((Standing::Serving, Because::GivenBack)), "{id}");
+        assert_eq!(fleet.notified(id, 1), Some((Standing::Serving, Because::GivenBack)), "{id}");
     }
 }
 
@@ -330,11 +330,11 @@
     fleet.run(5_000);
     let second = fleet.coordinator().expect("a successor");
     let watched = (0..5).find(|id| *id != first && *id != second).expect("another");
-    assert_eq!(fleet.told(watched, 1), Some((Standing::Gone, Because::Withdrawn)));
+    assert_eq!(fleet.notified(watched, 1), Some((Standing::Gone, Because::Withdrawn)));
     let (term, through) = fleet.nodes[usize::from(watched)].obeys();
     assert_eq!((term.candidate, through), (MemberId(second), 1), "under its own term");
     fleet.run(15_000);
-    assert_eq!(fleet.told(watched, 1), Some((Standing::Serving, Because::GivenBack)));
+    assert_eq!(fleet.notified(watched, 1), Some((Standing::Serving, Because::GivenBack)));
 }
 
 #[test]
@@ -345,23 +345,23 @@
     fleet.run(1_000);
     // A member's own list counts there, also while the others have none.
     let other = (first + 1) % 5;
-    fleet.give(other, Input::Listed { version: 1, whole: true, entries: list(4) });
-    assert_eq!(fleet.told(other, 1), Some((Standing::Serving, Because::GivenBack)));
+    fleet.input(other, Input::ListUpdate { version: 1, complete: true, entries: list(4) });
+    assert_eq!(fleet.notified(other, 1), Some((Standing::Serving, Because::GivenBack)));
     let entries = vec![entry(1, Standing::Draining)];
-    fleet.give(first, Input::Listed { version: 2, whole: false, entries });
+    fleet.input(first, Input::ListUpdate { version: 2, complete: false, entries });
     assert_eq!(fleet.coordinator(), None);
-    fleet.lost = 3;
+    fleet.lose_one_in = 3;
     fleet.run(2_900);
     // The drain that discovery told one is told to all, and nobody undoes it.
     for id in (0..5).filter(|id| ![first, other].contains(id)) {
-        assert_eq!(fleet.told(id, 1), Some((Standing::Draining, Because::NewerList)), "{id}");
+        assert_eq!(fleet.notified(id, 1), Some((Standing::Draining, Because::NewerList)), "{id}");
     }
 }
 
 #[test]
 fn where_only_the_coordinator_reaches_discovery_the_next_waits_for_an_outage() {
     let (mut fleet, first) = governed(5, 4);
-    fleet.reach(first, Reach::Up);
+    fleet.set_reach(first, Reach::Up);
     fleet.run(1_400);
     assert_eq!(fleet.coordinator(), None);
     fleet.run(1_000);
@@ -389,7 +389,7 @@
 fn elections_end_under_loss_and_in_large_regions() {
     for (members, lost, within) in [(5, 3, 1_500), (60, 0, 1_000), (60, 3, 1_500)] {
         let mut fleet = Fleet::new(members);
-        fleet.lost = lost;
+        fleet.lose_one_in = lost;
         fleet.outage();
         fleet.run(1_500 + within);
         assert!(fleet.coordinator().is_some(), "{members} members, one in {lost} lost");
@@ -408,7 +408,7 @@
     let alone = (first + 1) % 3;
     fleet.stopped = (0..3).filter(|id| *id != alone).collect();
     fleet.run(58_000);
-    assert_eq!(fleet.told(alone, 1), Some((Standing::Gone, Because::Withdrawn)));
+    assert_eq!(fleet.notified(alone, 1), Some((Standing::Gone, Because::Withdrawn)));
     fleet.run(4_000);
-    assert_eq!(fleet.told(alone, 1), Some((Standing::Serving, Because::GivenBack)));
+    assert_eq!(fleet.notified(alone, 1), Some((Standing::Serving, Because::GivenBack)));
 }
--- a/crates/peers/src/lists.rs
+++ b/crates/peers/src/lists.rs
@@ -187,7 +187,7 @@
         self.direct = Some(version);
         if self.store.left_out > before {
             let left = self.store.left_out - before;
-            out.push(Output::Note(format!(
+            out.push(Output::Log(format!(
                 "{left} servers of list {version} are not shared with peers: an entry takes more than {BODY} bytes or \
                  there are more than {ENTRIES}"
             )));
@@ -303,7 +303,7 @@
     /// A number below `n` that follows from the seed and how many were drawn.
     fn draw(&mut self, n: u64) -> u64 {
         self.draws += 1;
-        crate::coordinator::draw(self.pace.seed, self.draws) % n.max(1)
+        crate::coordinator::splitmix64(self.pace.seed, self.draws) % n.max(1)
     }
 }
 
--- a/crates/peers/src/lists/tests.rs
+++ b/crates/peers/src/lists/tests.rs
@@ -3,8 +3,8 @@
 use crate::coordinator::tests::{Fleet, entry, key, list};
 use crate::coordinator::{Input, Message as Words};
 
-fn listed(version: u64, whole: bool, entries: Vec<Entry>) -> Input {
-    Input::Listed { version, whole, entries }
+fn listed(version: u64, complete: bool, entries: Vec<Entry>) -> Input {
+    Input::ListUpdate { version, complete, entries }
 }
 
 fn digests(fleet: &Fleet) -> Vec<(Rank, u64, usize)> {
@@ -15,28 +15,28 @@
 #[test]
 fn members_without_discovery_get_the_newest_list_with_a_third_of_messages_lost() {
     let mut fleet = Fleet::new(6);
-    fleet.lost = 3;
+    fleet.lose_one_in = 3;
     // From nothing, from some versions back, and from one back.
-    fleet.give(1, listed(10, true, list(40)));
-    fleet.give(2, listed(11, true, list(60)));
+    fleet.input(1, listed(10, true, list(40)));
+    fleet.input(2, listed(11, true, list(60)));
     let mut newest = list(60);
     newest.remove(7);
     newest[0].standing = Standing::Draining;
     for member in 1..6 {
         // Each knows it of itself alone, so that no coordinator is elected.
-        fleet.give(member, Input::Reach { member: MemberId(member), reach: Reach::Down });
+        fleet.input(member, Input::DiscoveryReach { member: MemberId(member), reach: Reach::Down });
     }
-    fleet.give(0, listed(11, true, list(60)));
-    fleet.give(0, listed(12, true, newest));
+    fleet.input(0, listed(11, true, list(60)));
+    fleet.input(0, listed(12, true, newest));
     fleet.run(20_000);
     let all = digests(&fleet);
     assert_eq!(all[0].2, 59);
     assert!(all.iter().all(|one| *one == all[0]), "{all:?}");
-    assert_eq!(fleet.told(2, 7).map(|told| told.0), Some(Standing::Gone));
-    assert_eq!(fleet.told(2, 0).map(|told| told.0), Some(Standing::Draining));
+    assert_eq!(fleet.notified(2, 7).map(|update| update.0), Some(Standing::Gone));
+    assert_eq!(fleet.notified(2, 0).map(|update| update.0), Some(Standing::Draining));
     // All is quiet then: a question a member and round, and its answer.
     let sent = fleet.sent;
-    fleet.lost = 0;
+    fleet.lose_one_in = 0;
     fleet.run(15_000);
     assert!(fleet.sent - sent <= 2 * 5 * 11, "{}", fleet.sent - sent);
 }
@@ -44,21 +44,21 @@
 #[test]
 fn a_pull_goes_on_where_it_was_though_the_list_changes_meanwhile() {
     let mut fleet = Fleet::new(2);
-    fleet.reach(1, Reach::Down);
-    fleet.give(0, listed(1, true, list(300)));
+    fleet.set_reach(1, Reach::Down);
+    fleet.input(0, listed(1, true, list(300)));
     let mut version = 1;
     for number in 0..60 {
         fleet.run(40);
         version += 1;
-        fleet.give(0, listed(version, false, vec![entry(number * 5, Standing::Draining)]));
+        fleet.input(0, listed(version, false, vec![entry(number * 5, Standing::Draining)]));
     }
     fleet.run(6_000);
     let all = digests(&fleet);
     assert_eq!(all[0], all[1]);
     let before = fleet.sent;
-    fleet.give(0, listed(version + 1, false, vec![entry(1, Standing::Gone)]));
+    fleet.input(0, listed(version + 1, false, vec![entry(1, Standing::Gone)]));
     fleet.run(4_000);
-    assert_eq!(fleet.told(1, 1).map(|told| told.0), Some(Standing::Gone));
+    assert_eq!(fleet.notified(1, 1).map(|update| update.0), Some(Standing::Gone));
     assert!(fleet.sent - before < 20, "only the difference");
 }
 
@@ -66,19 +66,19 @@
 fn versions_that_begin_anew_are_an_epoch_and_a_replica_that_lags_is_not() {
     let mut fleet = Fleet::new(3);
     for member in [1, 2] {
-        fleet.reach(member, Reach::Down);
+        fleet.set_reach(member, Reach::Down);
     }
-    fleet.give(0, listed(100, true, list(5)));
+    fleet.input(0, listed(100, true, list(5)));
     fleet.run(5_000);
     assert_eq!(fleet.nodes[1].lists().rank(), Rank { epoch: 0, version: 100 });
     // Its own discovery went back: at once.
-    fleet.give(0, listed(3, true, list(4)));
+    fleet.input(0, listed(3, true, list(4)));
     fleet.run(5_000);
     assert!(fleet.nodes.iter().all(|node| node.lists().rank() == Rank { epoch: 1, version: 3 }));
-    assert_eq!(fleet.told(1, 4).map(|told| told.0), Some(Standing::Gone));
+    assert_eq!(fleet.notified(1, 4).map(|update| update.0), Some(Standing::Gone));
     // One comes back to a replica that lags. The others stay, until that has been so for long.
     fleet.restart(0);
-    fleet.give(0, listed(2, true, list(5)));
+    fleet.input(0, listed(2, true, list(5)));
     fleet.run(4_000);
     assert_eq!(fleet.nodes[1].lists().rank(), Rank { epoch: 1, version: 3 });
     fleet.run(12_000);
@@ -88,23 +88,23 @@
 #[test]
 fn one_with_discovery_takes_nothing_from_others() {
     let mut fleet = Fleet::new(2);
-    fleet.give(0, listed(5, true, list(3)));
-    fleet.give(1, listed(9, true, list(8)));
-    fleet.reach(1, Reach::Down);
+    fleet.input(0, listed(5, true, list(3)));
+    fleet.input(1, listed(9, true, list(8)));
+    fleet.set_reach(1, Reach::Down);
     fleet.run(2_000);
     assert_eq!(fleet.nodes[0].lists().store.live(), 3);
     // Nor does discovery's return without a new list leave what others gave in doubt.
-    fleet.reach(0, Reach::Down);
+    fleet.set_reach(0, Reach::Down);
     fleet.run(5_000);
     assert_eq!(fleet.nodes[0].lists().store.live(), 8);
-    fleet.reach(0, Reach::Up);
+    fleet.set_reach(0, Reach::Up);
     assert!(!fleet.nodes[0].lists().live(), "it told 5, and 9 is held");
 }
 
 #[test]
 fn long_names_fit_and_longer_ones_are_left_out_and_told() {
     let mut fleet = Fleet::new(2);
-    fleet.reach(1, Reach::Down);
+    fleet.set_reach(1, Reach::Down);
     let long = |length: usize| Entry {
         host: "h".repeat(length),
         dial: "[2001:db8::1]:65535".parse().expect("an address"),
@@ -114,10 +114,10 @@
         started_ms: 1.7e12,
         ..entry(0, Standing::Serving)
     };
-    fleet.give(0, listed(u64::MAX, true, vec![long(64), long(160), entry(1, Standing::Serving)]));
+    fleet.input(0, listed(u64::MAX, true, vec![long(64), long(160), entry(1, Standing::Serving)]));
     assert_eq!(fleet.nodes[0].lists().left_out(), 1);
     assert!(
-        fleet.outs[0].iter().any(|out| matches!(out, Output::Note(note) if note.starts_with("1 servers")))
+        fleet.outputs[0].iter().any(|out| matches!(out, Output::Log(note) if note.starts_with("1 servers")))
     );
     fleet.run(5_000);
     let all = digests(&fleet);
@@ -127,13 +127,13 @@
 #[test]
 fn parts_that_nobody_asked_for_or_that_make_no_sense_change_nothing() {
     let mut fleet = Fleet::new(3);
-    fleet.reach(2, Reach::Down);
-    fleet.give(0, listed(5, true, list(2)));
+    fleet.set_reach(2, Reach::Down);
+    fleet.input(0, listed(5, true, list(2)));
     let body = |number| store::encoded(&entry(number, Standing::Serving)).expect("it fits");
     let rank = Rank { epoch: 0, version: 5 };
     let part = |rank, items| Words::List(Message::Part { rank, after: pull::Place::default(), items });
     let give = |fleet: &mut Fleet, from, message| {
-        fleet.give(2, Input::Message { from: MemberId(from), incarnation: 1, message });
+        fleet.input(2, Input::Message { from: MemberId(from), incarnation: 1, message });
     };
     give(&mut fleet, 0, part(rank, vec![(1, body(9))]));
     assert_eq!(fleet.nodes[2].lists().store.live(), 0, "no pull");
@@ -154,15 +154,15 @@
 fn ends_are_forgotten_in_the_end_and_who_is_behind_that_pulls_the_whole() {
     let mut fleet = Fleet::new(2);
     for id in [0, 1] {
-        fleet.give(id, listed(1, true, list(1_300)));
+        fleet.input(id, listed(1, true, list(1_300)));
     }
-    fleet.reach(1, Reach::Down);
+    fleet.set_reach(1, Reach::Down);
     let mut ended = list(1_300);
     ended.truncate(100);
-    fleet.give(0, listed(2, true, ended));
+    fleet.input(0, listed(2, true, ended));
     assert!(fleet.nodes[0].lists().store.floor >= 2);
     fleet.run(10_000);
     let all = digests(&fleet);
     assert_eq!((all[0], all[0].2), (all[1], 100));
-    assert_eq!(fleet.told(1, 100).map(|told| told.0), Some(Standing::Gone));
+    assert_eq!(fleet.notified(1, 100).map(|update| update.0), Some(Standing::Gone));
 }
--- a/crates/peers/src/peer.rs
+++ b/crates/peers/src/peer.rs
@@ -122,7 +122,7 @@
             Input::Discovery(reach) => self.reached(now, reach, &mut outbox, out),
             Input::Listed { version, whole, entries } => {
                 self.reached(now, Reach::Up, &mut outbox, out);
-                let listed = coordinator::Input::Listed { version, whole, entries };
+                let listed = coordinator::Input::ListUpdate { version, complete: whole, entries };
                 self.coordinate(now, listed, &mut outbox, out);
             }
             Input::Saw { server, standing } => self.saw(now, server, standing, &mut outbox, out),
@@ -165,7 +165,7 @@
             role: self.coordinator.role(),
             term: self.coordinator.term(),
             level: self.overload.level(),
-            refused_words: self.coordinator.refused(),
+            refused_words: self.coordinator.stale_rejected(),
             refused_facts: self.facts.refused(),
             facts: self.facts.len(),
             datagrams_in: self.datagrams_in,
@@ -299,7 +299,7 @@
             self.ledger.bounds(now, servers.iter().filter_map(cold));
         }
         if let Some(reach) = self.reach {
-            let reach = coordinator::Input::Reach { member: self.config.me, reach };
+            let reach = coordinator::Input::DiscoveryReach { member: self.config.me, reach };
             self.coordinate(now, reach, outbox, out);
         }
     }
@@ -357,7 +357,7 @@
             } else {
                 self.facts.gone(change.member);
             }
-            let alive = coordinator::Input::Alive { member: change.member, alive: change.alive };
+            let alive = coordinator::Input::Liveness { member: change.member, alive: change.alive };
             self.coordinate(now, alive, outbox, out);
         }
         for news in self.facts.news() {
@@ -372,17 +372,17 @@
         match fact.kind {
             FactKind::REACH => {
                 if let Ok(reach) = postcard::from_bytes(&fact.body) {
-                    let reach = coordinator::Input::Reach { member: owner, reach };
+                    let reach = coordinator::Input::DiscoveryReach { member: owner, reach };
                     self.coordinate(now, reach, outbox, out);
                 }
             }
             FactKind::SERVER => {
                 let standing = postcard::from_bytes(&fact.body).ok();
-                let evidence = coordinator::Input::Evidence { by: owner, server, standing };
+                let evidence = coordinator::Input::Evidence { reporter: owner, server, standing };
                 self.coordinate(now, evidence, outbox, out);
             }
             FactKind::LIST => {
-                let list = coordinator::Input::List { by: owner, body: fact.body };
+                let list = coordinator::Input::ListFact { member: owner, body: fact.body };
                 self.coordinate(now, list, outbox, out);
             }
             FactKind::LOAD | FactKind::LEVEL if ended => {}
@@ -416,7 +416,12 @@
         let fact =
             postcard::to_allocvec(&reach).ok().map(|body| Fact { kind: FactKind::REACH, key: 0, body });
         self.put(now, fact);
-        self.coordinate(now, coordinator::Input::Reach { member: self.config.me, reach }, outbox, out);
+        self.coordinate(
+            now,
+            coordinator::Input::DiscoveryReach { member: self.config.me, reach },
+            outbox,
+            out,
+        );
     }
 
     /// Takes in what this member saw of a server.
@@ -470,7 +475,7 @@
         let standing = standing.filter(|standing| *standing != Standing::Serving);
         let body = standing.and_then(|standing| postcard::to_allocvec(&standing).ok()).unwrap_or_default();
         self.put(now, Some(Fact { kind: FactKind::SERVER, key: server.0, body }));
-        let evidence = coordinator::Input::Evidence { by: self.config.me, server, standing };
+        let evidence = coordinator::Input::Evidence { reporter: self.config.me, server, standing };
         self.coordinate(now, evidence, outbox, out);
     }
 
@@ -498,10 +503,10 @@
                         self.wakes.pop_last();
                     }
                 }
-                coordinator::Output::Ask(asking) => out.push(Output::Ask(asking)),
-                coordinator::Output::Server { entry, why } => out.push(Output::Server { entry, why }),
+                coordinator::Output::SetPolling(asking) => out.push(Output::Ask(asking)),
+                coordinator::Output::ServerChanged { entry, why } => out.push(Output::Server { entry, why }),
                 coordinator::Output::Publish(fact) => self.put(now, Some(fact)),
-                coordinator::Output::Note(note) => out.push(Output::Note(note)),
+                coordinator::Output::Log(note) => out.push(Output::Note(note)),
             }
         }
     }
--- a/crates/peers/tests/fleet/together.rs
+++ b/crates/peers/tests/fleet/together.rs
@@ -27,7 +27,7 @@
 }
 
 fn coordinators(fleet: &Fleet) -> Vec<usize> {
-    let is = |m: &usize| fleet.peers[*m].as_ref().is_some_and(|p| p.view().role == Role::Coordinates);
+    let is = |m: &usize| fleet.peers[*m].as_ref().is_some_and(|p| p.view().role == Role::Coordinator);
     (0..fleet.peers.len()).filter(is).collect()
 }
 
--- a/crates/peers/tests/model.rs
+++ b/crates/peers/tests/model.rs
@@ -153,13 +153,13 @@
         let mut inputs = Vec::new();
         if id < self.candidates {
             if self.servers {
-                inputs.push(Input::Listed { version: 1, whole: true, entries: list() });
-                for by in [0, 1].map(MemberId) {
+                inputs.push(Input::ListUpdate { version: 1, complete: true, entries: list() });
+                for reporter in [0, 1].map(MemberId) {
                     let standing = Some(Standing::Draining);
-                    inputs.push(Input::Evidence { by, server: ServerKey::of("s1"), standing });
+                    inputs.push(Input::Evidence { reporter, server: ServerKey::of("s1"), standing });
                 }
             }
-            let down = |member| Input::Reach { member: MemberId(member), reach: Reach::Down };
+            let down = |member| Input::DiscoveryReach { member: MemberId(member), reach: Reach::Down };
             inputs.extend((0..self.members).map(down));
         }
         // All have heard of each other.
@@ -195,10 +195,10 @@
         }
         node.highest = node.highest.max(known);
         match (was, node.coordinator.role()) {
-            (Role::Coordinates, Role::Coordinates) => {}
-            (_, Role::Coordinates) => state.offices = (state.offices + 1).min(2),
-            (Role::Coordinates, _) if leased => state.stood = true,
-            (Role::Coordinates, _) => state.late = true,
+            (Role::Coordinator, Role::Coordinator) => {}
+            (_, Role::Coordinator) => state.offices = (state.offices + 1).min(2),
+            (Role::Coordinator, _) if leased => state.stood = true,
+            (Role::Coordinator, _) => state.late = true,
             _ => {}
         }
         let acting = node.coordinator.acting(node.clock);
@@ -278,7 +278,7 @@
             if state.restarts < self.restarts && reachable(id) {
                 actions.push(Action::Restart(id));
             }
-            if !state.back && node.coordinator.role() == Role::Coordinates {
+            if !state.back && node.coordinator.role() == Role::Coordinator {
                 actions.push(Action::Back(id));
             }
         }
@@ -322,7 +322,7 @@
             }
             Action::Back(id) => {
                 state.back = true;
-                let input = Input::Reach { member: MemberId(id), reach: Reach::Up };
+                let input = Input::DiscoveryReach { member: MemberId(id), reach: Reach::Up };
                 self.step(&mut state, id, input, true);
             }
         }
--- a/crates/world/src/company.rs
+++ b/crates/world/src/company.rs
@@ -224,7 +224,7 @@
     pub(crate) fn sees_coordinator(&mut self, member: usize) {
         let this = &self.members[member];
         let view = this.company.as_ref().filter(|_| this.runs()).and_then(|company| company.view().peers);
-        let acts = view.filter(|view| view.role == Role::Coordinates).map(|view| format!("{:?}", view.term));
+        let acts = view.filter(|view| view.role == Role::Coordinator).map(|view| format!("{:?}", view.term));
         let place = (this.region, member);
         self.checks.coordinators.sees(self.now, place, acts, &mut self.checks.found);
     }
