--- a/crates/peers/src/coordinator/election.rs
+++ b/crates/peers/src/coordinator/election.rs
@@ -7,18 +7,18 @@
 use crate::api::{MemberId, Millis, Reach};
 
 /// Numbers may rise by so much at once: a broken member cannot use them up.
-const LEAP: u64 = 1 << 32;
+const MAX_NUMBER_JUMP: u64 = 1 << 32;
 
 /// A call for votes that is not decided.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct Candidacy {
     pub term: Term,
     /// Until when each voter's promise can be counted on, by this member's clock.
-    pub granted: BTreeMap<MemberId, Millis>,
+    pub votes: BTreeMap<MemberId, Millis>,
     /// When those who have not answered are called again.
-    pub again: Millis,
+    pub resend_at: Millis,
     /// When it is given up.
-    pub ends: Millis,
+    pub ends_at: Millis,
 }
 
 /// A promise to follow nobody else.
@@ -32,62 +32,67 @@
 impl Coordinator {
     /// Whether this process is too new to vote: its former self may have made a promise that still counts.
     pub(super) fn quarantined(&self, now: Millis) -> bool {
-        now < self.setup.quarantine
+        now < self.params.quarantine_until
     }
 
     /// Whether a term is of this very run.
-    pub(super) fn own(&self, term: &Term) -> bool {
-        term.candidate == self.setup.me && term.incarnation == self.setup.incarnation
+    pub(super) fn is_own_term(&self, term: &Term) -> bool {
+        term.candidate == self.params.me && term.incarnation == self.params.incarnation
     }
 
     /// Whether another run has this member's promise.
-    pub(super) fn promised(&self, now: Millis, to: &Term) -> bool {
-        self.promise.is_some_and(|promise| now < promise.until && !promise.term.same_run(to))
+    pub(super) fn promised_to_other(&self, now: Millis, term: &Term) -> bool {
+        self.promise.is_some_and(|promise| now < promise.until && !promise.term.same_run(term))
     }
 
     /// Takes note of a term, where its number can be meant.
-    pub(super) fn plausible(&self, term: &Term) -> bool {
-        term.number != 0 && term.number <= self.known.number.max(self.floor).saturating_add(LEAP)
+    pub(super) fn is_plausible(&self, term: &Term) -> bool {
+        term.number != 0
+            && term.number <= self.highest_term.number.max(self.number_floor).saturating_add(MAX_NUMBER_JUMP)
     }
 
     /// How many of the region's living members have said for so long that discovery is out of reach.
-    fn downs(&self, now: Millis, age: Millis) -> usize {
+    fn count_down(&self, now: Millis, age: Millis) -> usize {
         let down = |member: &&MemberId| {
-            self.reaches.get(member).is_some_and(|(reach, since)| {
-                *reach == Reach::Down && now.saturating_sub(*since) >= age && !self.gone.contains(*member)
+            self.discovery_reach.get(member).is_some_and(|(reach, since)| {
+                *reach == Reach::Down
+                    && now.saturating_sub(*since) >= age
+                    && !self.dead_members.contains(*member)
             })
         };
-        self.setup.region.iter().filter(down).count()
+        self.params.region_members.iter().filter(down).count()
     }
 
-    fn ups(&self) -> usize {
+    fn count_up(&self) -> usize {
         let up = |member: &&MemberId| {
-            self.reaches.get(member).is_some_and(|(reach, _)| *reach == Reach::Up)
-                && !self.gone.contains(*member)
+            self.discovery_reach.get(member).is_some_and(|(reach, _)| *reach == Reach::Up)
+                && !self.dead_members.contains(*member)
         };
-        self.setup.region.iter().filter(up).count()
+        self.params.region_members.iter().filter(up).count()
     }
 
     /// How this member sees discovery.
     pub(super) fn own_reach(&self) -> Option<Reach> {
-        self.reaches.get(&self.setup.me).map(|(reach, _)| *reach)
+        self.discovery_reach.get(&self.params.me).map(|(reach, _)| *reach)
     }
 
     /// Whether a coordinator is needed, as far as this member knows, which is one of those without discovery.
-    fn needed(&self, now: Millis) -> bool {
-        self.own_reach() == Some(Reach::Down) && self.downs(now, self.setup.outage) >= self.setup.majority
+    fn coordinator_needed(&self, now: Millis) -> bool {
+        self.own_reach() == Some(Reach::Down)
+            && self.count_down(now, self.params.outage_threshold) >= self.params.majority
     }
 
     /// Whether a coordinator has nothing more to do: it has discovery itself, or a majority does not say any more
     /// that it is out of reach. Members that fell silent do not count as such: without them the lease ends by
     /// itself.
-    pub(super) fn back(&self, now: Millis) -> bool {
-        self.own_reach() == Some(Reach::Up) || (self.ups() > 0 && self.downs(now, 0) < self.setup.majority)
+    pub(super) fn no_longer_needed(&self, now: Millis) -> bool {
+        self.own_reach() == Some(Reach::Up)
+            || (self.count_up() > 0 && self.count_down(now, 0) < self.params.majority)
     }
 
     /// The need must be seen anew, for as long as an outage takes: a coordinator said that discovery is back.
-    pub(super) fn restart_outage(&mut self, now: Millis) {
-        for (reach, since) in self.reaches.values_mut() {
+    pub(super) fn restart_outage_timers(&mut self, now: Millis) {
+        for (reach, since) in self.discovery_reach.values_mut() {
             if *reach == Reach::Down {
                 *since = now;
             }
@@ -100,184 +105,206 @@
             return None;
         }
         let mut since: Vec<Millis> = self
-            .setup
-            .region
+            .params
+            .region_members
             .iter()
-            .filter(|member| !self.gone.contains(*member))
-            .filter_map(|member| self.reaches.get(member))
+            .filter(|member| !self.dead_members.contains(*member))
+            .filter_map(|member| self.discovery_reach.get(member))
             .filter(|(reach, _)| *reach == Reach::Down)
             .map(|(_, since)| *since)
             .collect();
         since.sort_unstable();
-        let at = since.get(self.setup.majority.checked_sub(1)?)? + self.setup.outage;
+        let at = since.get(self.params.majority.checked_sub(1)?)? + self.params.outage_threshold;
         (at > now).then_some(at)
     }
 
     /// Stands, calls again, or gives up, as it is time.
-    pub(super) fn elect(&mut self, now: Millis, out: &mut Vec<Output>) {
-        if self.office.is_some() || self.quarantined(now) {
-            self.stand_at = None;
+    pub(super) fn run_election(&mut self, now: Millis, actions: &mut Vec<Output>) {
+        if self.leadership.is_some() || self.quarantined(now) {
+            self.candidacy_at = None;
             return;
         }
         match &self.candidacy {
-            Some(candidacy) if now >= candidacy.ends || !self.needed(now) => self.abandon(out),
-            Some(candidacy) if now >= candidacy.again => return self.call(now, out),
+            Some(candidacy) if now >= candidacy.ends_at || !self.coordinator_needed(now) => {
+                self.abandon_candidacy(actions)
+            }
+            Some(candidacy) if now >= candidacy.resend_at => return self.request_votes(now, actions),
             Some(_) => return,
             None => {}
         }
-        let me = Term { number: 0, candidate: self.setup.me, incarnation: self.setup.incarnation };
-        let free = !self.promised(now, &me) && self.heard.is_none_or(|(_, until)| now >= until);
-        match self.stand_at {
-            _ if !(free && self.needed(now)) => self.stand_at = None,
+        let me = Term { number: 0, candidate: self.params.me, incarnation: self.params.incarnation };
+        let unbound =
+            !self.promised_to_other(now, &me) && self.following.is_none_or(|(_, until)| now >= until);
+        match self.candidacy_at {
+            _ if !(unbound && self.coordinator_needed(now)) => self.candidacy_at = None,
             None => {
-                self.attempts += 1;
-                let delay = super::splitmix64(self.setup.seed, self.attempts) % self.setup.election;
-                self.stand_at = Some(now + self.setup.election + delay);
+                self.election_attempts += 1;
+                let delay = super::splitmix64(self.params.seed, self.election_attempts)
+                    % self.params.election_timeout;
+                self.candidacy_at = Some(now + self.params.election_timeout + delay);
             }
-            Some(at) if now >= at => self.stand(now, out),
+            Some(at) if now >= at => self.start_candidacy(now, actions),
             Some(_) => {}
         }
     }
 
-    fn stand(&mut self, now: Millis, out: &mut Vec<Output>) {
-        self.stand_at = None;
-        let Some(number) = self.known.number.max(self.floor).checked_add(1) else { return };
-        let term = Term { number, candidate: self.setup.me, incarnation: self.setup.incarnation };
-        let lasts = self.setup.vote;
-        self.known = term;
-        self.promise = Some(Promise { term, until: now + lasts });
-        let granted = BTreeMap::from([(self.setup.me, now + self.setup.usable(lasts))]);
-        self.candidacy = Some(Candidacy { term, granted, again: now, ends: now + lasts });
-        self.call(now, out);
-        self.count(now, out);
+    fn start_candidacy(&mut self, now: Millis, actions: &mut Vec<Output>) {
+        self.candidacy_at = None;
+        let Some(number) = self.highest_term.number.max(self.number_floor).checked_add(1) else { return };
+        let term = Term { number, candidate: self.params.me, incarnation: self.params.incarnation };
+        let duration = self.params.vote_duration;
+        self.highest_term = term;
+        self.promise = Some(Promise { term, until: now + duration });
+        let votes = BTreeMap::from([(self.params.me, now + self.params.usable_lease(duration))]);
+        self.candidacy = Some(Candidacy { term, votes, resend_at: now, ends_at: now + duration });
+        self.request_votes(now, actions);
+        self.check_votes(now, actions);
     }
 
     /// Calls those who have not answered.
-    fn call(&mut self, now: Millis, out: &mut Vec<Output>) {
+    fn request_votes(&mut self, now: Millis, actions: &mut Vec<Output>) {
         let Some(candidacy) = &mut self.candidacy else { return };
-        candidacy.again = now + self.setup.election;
-        let lasts = u32::try_from(self.setup.vote).unwrap_or(u32::MAX);
-        for to in self.setup.region.iter().filter(|member| !candidacy.granted.contains_key(member)) {
-            out.push(Output::Send {
+        candidacy.resend_at = now + self.params.election_timeout;
+        let duration = u32::try_from(self.params.vote_duration).unwrap_or(u32::MAX);
+        for to in self.params.region_members.iter().filter(|member| !candidacy.votes.contains_key(member)) {
+            actions.push(Output::Send {
                 to: *to,
-                message: Message::Call { term: candidacy.term, at: now, lasts },
+                message: Message::RequestVote { term: candidacy.term, sent_at: now, duration },
             });
         }
     }
 
     /// Gives up a candidacy and says so, so that who promised is free.
-    pub(super) fn abandon(&mut self, out: &mut Vec<Output>) {
+    pub(super) fn abandon_candidacy(&mut self, actions: &mut Vec<Output>) {
         let Some(candidacy) = self.candidacy.take() else { return };
         if self.promise.is_some_and(|promise| promise.term == candidacy.term) {
             self.promise = None;
         }
         // To all: a vote may be under way.
-        for to in self.setup.others() {
-            out.push(Output::Send { to, message: Message::Stood { term: candidacy.term, back: false } });
+        for to in self.params.other_members() {
+            actions.push(Output::Send {
+                to,
+                message: Message::TermEnded { term: candidacy.term, discovery_back: false },
+            });
         }
     }
 
     /// Takes office with the promises of a majority.
-    fn count(&mut self, now: Millis, out: &mut Vec<Output>) {
+    fn check_votes(&mut self, now: Millis, actions: &mut Vec<Output>) {
         let won = self.candidacy.as_ref().is_some_and(|candidacy| {
-            candidacy.granted.values().filter(|until| **until > now).count() >= self.setup.majority
+            candidacy.votes.values().filter(|until| **until > now).count() >= self.params.majority
         });
         if won && let Some(candidacy) = self.candidacy.take() {
-            self.take_office(now, candidacy, out);
+            self.become_coordinator(now, candidacy, actions);
         }
     }
 
     /// A candidate calls for this member's vote.
-    pub(super) fn called(&mut self, now: Millis, term: Term, at: Millis, lasts: u32, out: &mut Vec<Output>) {
+    pub(super) fn on_vote_request(
+        &mut self,
+        now: Millis,
+        term: Term,
+        sent_at: Millis,
+        duration: u32,
+        actions: &mut Vec<Output>,
+    ) {
         // A longer promise than this member's own longest would outlast its quarantine.
-        if self.quarantined(now) || u64::from(lasts) > self.setup.lease {
+        if self.quarantined(now) || u64::from(duration) > self.params.lease {
             return;
         }
         // Who knows that most have discovery does not vote.
-        if self.ups() > self.setup.region.len() - self.setup.majority {
+        if self.count_up() > self.params.region_members.len() - self.params.majority {
             return;
         }
         // Of two candidates the lower gives way, so that a split vote ends at once.
-        if term > self.known && self.candidacy.is_some() {
-            self.abandon(out);
+        if term > self.highest_term && self.candidacy.is_some() {
+            self.abandon_candidacy(actions);
         }
         let to = term.candidate;
-        if term < self.known || self.promised(now, &term) || self.office.is_some() {
-            out.push(Output::Send { to, message: Message::Refuse { term, known: self.known } });
+        if term < self.highest_term || self.promised_to_other(now, &term) || self.leadership.is_some() {
+            actions.push(Output::Send {
+                to,
+                message: Message::Reject { term, highest_term: self.highest_term },
+            });
             // The lower of two candidates may have given way, and its word of that was lost.
             if let Some(promise) = self.promise
                 && promise.term < term
-                && self.heard.is_none()
-                && !self.own(&promise.term)
+                && self.following.is_none()
+                && !self.is_own_term(&promise.term)
             {
-                let message = Message::Refuse { term: promise.term, known: term };
-                out.push(Output::Send { to: promise.term.candidate, message });
+                let message = Message::Reject { term: promise.term, highest_term: term };
+                actions.push(Output::Send { to: promise.term.candidate, message });
             }
             return;
         }
-        self.known = term;
-        let kept = self.promise.filter(|promise| promise.term.same_run(&term)).map_or(0, |old| old.until);
-        self.promise = Some(Promise { term, until: kept.max(now + u64::from(lasts)) });
-        out.push(Output::Send { to, message: Message::Grant { term, at } });
+        self.highest_term = term;
+        let previous_until =
+            self.promise.filter(|promise| promise.term.same_run(&term)).map_or(0, |promise| promise.until);
+        self.promise = Some(Promise { term, until: previous_until.max(now + u64::from(duration)) });
+        actions.push(Output::Send { to, message: Message::GrantVote { term, sent_at } });
     }
 
     /// A voter has promised.
-    pub(super) fn granted(
+    pub(super) fn on_vote_granted(
         &mut self,
         now: Millis,
         from: MemberId,
         term: Term,
-        at: Millis,
-        out: &mut Vec<Output>,
+        sent_at: Millis,
+        actions: &mut Vec<Output>,
     ) {
-        let good = at.saturating_add(self.setup.usable(self.setup.vote));
+        let valid_until = sent_at.saturating_add(self.params.usable_lease(self.params.vote_duration));
         match &mut self.candidacy {
-            Some(candidacy) if candidacy.term == term && at <= now => {
-                let until = candidacy.granted.entry(from).or_insert(good);
-                *until = good.max(*until);
-                self.count(now, out);
+            Some(candidacy) if candidacy.term == term && sent_at <= now => {
+                let until = candidacy.votes.entry(from).or_insert(valid_until);
+                *until = valid_until.max(*until);
+                self.check_votes(now, actions);
             }
             _ => {}
         }
     }
 
     /// A member refused a term of this run: it knows a higher one.
-    pub(super) fn refused_by(
+    pub(super) fn on_rejection(
         &mut self,
         now: Millis,
-        by: MemberId,
+        rejected_by: MemberId,
         term: Term,
-        known: Term,
-        out: &mut Vec<Output>,
+        highest_term: Term,
+        actions: &mut Vec<Output>,
     ) {
-        if !self.own(&term) || !self.plausible(&known) {
+        if !self.is_own_term(&term) || !self.is_plausible(&highest_term) {
             return;
         }
         // Not while in office: its term may have been this one before it took a higher number, and its promises
         // count.
-        if self.office.is_none() && self.candidacy.as_ref().is_none_or(|candidacy| candidacy.term != term) {
-            out.push(Output::Send { to: by, message: Message::Stood { term, back: false } });
+        if self.leadership.is_none() && self.candidacy.as_ref().is_none_or(|candidacy| candidacy.term != term)
+        {
+            actions.push(Output::Send {
+                to: rejected_by,
+                message: Message::TermEnded { term, discovery_back: false },
+            });
         }
-        self.floor = self.floor.max(known.number);
-        if self.candidacy.as_ref().is_some_and(|candidacy| known > candidacy.term) {
-            self.abandon(out);
+        self.number_floor = self.number_floor.max(highest_term.number);
+        if self.candidacy.as_ref().is_some_and(|candidacy| highest_term > candidacy.term) {
+            self.abandon_candidacy(actions);
         }
-        if self.office.as_ref().is_some_and(|office| known > office.term) {
-            self.renumber(now, out);
+        if self.leadership.as_ref().is_some_and(|leadership| highest_term > leadership.term) {
+            self.raise_term_number(now, actions);
         }
     }
 
     /// A term is over, as its own candidate says.
-    pub(super) fn stood(&mut self, now: Millis, term: Term, back: bool) {
+    pub(super) fn on_term_ended(&mut self, now: Millis, term: Term, discovery_back: bool) {
         if self.promise.is_some_and(|promise| promise.term == term) {
             self.promise = None;
         }
-        if self.heard.is_some_and(|(heard, _)| heard == term) {
-            self.heard = None;
+        if self.following.is_some_and(|(followed, _)| followed == term) {
+            self.following = None;
         }
-        if back && self.known == term {
-            self.obeyed.end();
-            self.restart_outage(now);
+        if discovery_back && self.highest_term == term {
+            self.applied.clear();
+            self.restart_outage_timers(now);
         }
     }
 }
--- a/crates/peers/src/coordinator/evidence.rs
+++ b/crates/peers/src/coordinator/evidence.rs
@@ -5,10 +5,10 @@
 use crate::api::{MemberId, Millis, ServerKey, Standing};
 
 /// A withdrawal takes the word of so many members: one may be cut off, slow or broken.
-pub(super) const WITNESSES: usize = 2;
+pub(super) const MIN_REPORTERS: usize = 2;
 
 /// Of so many servers evidence is kept at most.
-const SERVERS: usize = 4_096;
+const MAX_SERVERS: usize = 4_096;
 
 /// How far a server is from taking new work.
 pub(super) fn severity(standing: Standing) -> u8 {
@@ -21,42 +21,42 @@
 
 /// What is known of one server.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
-struct Case {
+struct ServerEvidence {
     /// What each member saw.
-    seen: BTreeMap<MemberId, Standing>,
+    observed: BTreeMap<MemberId, Standing>,
     /// Who was told of a withdrawal by a former coordinator, and how.
-    carried: BTreeMap<MemberId, Standing>,
+    inherited: BTreeMap<MemberId, Standing>,
     /// When the first of those said so.
-    since: Millis,
+    inherited_since: Millis,
 }
 
 /// All that members of the region saw.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 pub(super) struct Evidence {
-    cases: BTreeMap<ServerKey, Case>,
+    servers: BTreeMap<ServerKey, ServerEvidence>,
 }
 
 impl Evidence {
-    fn case(&mut self, server: ServerKey) -> Option<&mut Case> {
-        if self.cases.len() >= SERVERS && !self.cases.contains_key(&server) {
+    fn entry(&mut self, server: ServerKey) -> Option<&mut ServerEvidence> {
+        if self.servers.len() >= MAX_SERVERS && !self.servers.contains_key(&server) {
             return None;
         }
-        Some(self.cases.entry(server).or_default())
+        Some(self.servers.entry(server).or_default())
     }
 
     /// What a member saw now, or that it says nothing of a server any more.
-    pub fn saw(&mut self, by: MemberId, server: ServerKey, standing: Option<Standing>) {
+    pub fn observe(&mut self, reporter: MemberId, server: ServerKey, standing: Option<Standing>) {
         match standing {
             Some(standing) => {
-                if let Some(case) = self.case(server) {
-                    case.seen.insert(by, standing);
+                if let Some(entry) = self.entry(server) {
+                    entry.observed.insert(reporter, standing);
                 }
             }
             None => {
-                if let Some(case) = self.cases.get_mut(&server) {
-                    case.seen.remove(&by);
-                    if case.seen.is_empty() && case.carried.is_empty() {
-                        self.cases.remove(&server);
+                if let Some(entry) = self.servers.get_mut(&server) {
+                    entry.observed.remove(&reporter);
+                    if entry.observed.is_empty() && entry.inherited.is_empty() {
+                        self.servers.remove(&server);
                     }
                 }
             }
@@ -64,60 +64,71 @@
     }
 
     /// A member holds a withdrawal by a former coordinator that the present one has said nothing of.
-    pub fn carries(&mut self, now: Millis, by: MemberId, server: ServerKey, standing: Standing) {
-        if let Some(case) = self.case(server) {
-            if case.carried.is_empty() {
-                case.since = now;
+    pub fn observe_inherited(
+        &mut self,
+        now: Millis,
+        reporter: MemberId,
+        server: ServerKey,
+        standing: Standing,
+    ) {
+        if let Some(entry) = self.entry(server) {
+            if entry.inherited.is_empty() {
+                entry.inherited_since = now;
             }
-            case.carried.insert(by, standing);
+            entry.inherited.insert(reporter, standing);
         }
     }
 
     /// What was carried is settled: the coordinator has said its own word.
-    pub fn settled(&mut self, server: ServerKey) {
-        if let Some(case) = self.cases.get_mut(&server) {
-            case.carried.clear();
-            if case.seen.is_empty() {
-                self.cases.remove(&server);
+    pub fn clear_inherited(&mut self, server: ServerKey) {
+        if let Some(entry) = self.servers.get_mut(&server) {
+            entry.inherited.clear();
+            if entry.observed.is_empty() {
+                self.servers.remove(&server);
             }
         }
     }
 
     /// The list has a newer entry: what was seen was another run of the server.
     pub fn forget(&mut self, server: ServerKey) {
-        self.cases.remove(&server);
+        self.servers.remove(&server);
     }
 
     /// The worst that enough members saw, or say together with those who carry a withdrawal.
-    pub fn withdrawn(&self, server: ServerKey, carriers: bool) -> Option<Standing> {
-        let case = self.cases.get(&server)?;
-        let mut said = case.seen.clone();
-        if carriers {
-            for (by, standing) in &case.carried {
-                said.entry(*by).or_insert(*standing);
+    pub fn withdrawal(&self, server: ServerKey, include_inherited: bool) -> Option<Standing> {
+        let entry = self.servers.get(&server)?;
+        let mut reports = entry.observed.clone();
+        if include_inherited {
+            for (reporter, standing) in &entry.inherited {
+                reports.entry(*reporter).or_insert(*standing);
             }
         }
         [Standing::Gone, Standing::Draining].into_iter().find(|standing| {
-            let so = said.values().filter(|said| severity(**said) >= severity(*standing)).count();
-            so >= WITNESSES
+            let reporters =
+                reports.values().filter(|reported| severity(**reported) >= severity(*standing)).count();
+            reporters >= MIN_REPORTERS
         })
     }
 
     /// Whether enough members saw it serve again.
-    pub fn serves(&self, server: ServerKey) -> bool {
-        self.cases.get(&server).is_some_and(|case| {
-            case.seen.values().filter(|standing| **standing == Standing::Serving).count() >= WITNESSES
+    pub fn seen_serving(&self, server: ServerKey) -> bool {
+        self.servers.get(&server).is_some_and(|entry| {
+            entry.observed.values().filter(|standing| **standing == Standing::Serving).count()
+                >= MIN_REPORTERS
         })
     }
 
     /// Since when somebody carries a withdrawal that is not settled.
-    pub fn carried_since(&self, server: ServerKey) -> Option<Millis> {
-        self.cases.get(&server).filter(|case| !case.carried.is_empty()).map(|case| case.since)
+    pub fn inherited_since(&self, server: ServerKey) -> Option<Millis> {
+        self.servers
+            .get(&server)
+            .filter(|entry| !entry.inherited.is_empty())
+            .map(|entry| entry.inherited_since)
     }
 
     /// All servers of which something is known.
     pub fn servers(&self) -> Vec<ServerKey> {
-        self.cases.keys().copied().collect()
+        self.servers.keys().copied().collect()
     }
 }
 
@@ -139,29 +150,29 @@
         ];
         for (seen, withdrawn, serves) in table {
             let mut evidence = Evidence::default();
-            for (by, standing) in (0..).map(MemberId).zip(seen) {
+            for (reporter, standing) in (0..).map(MemberId).zip(seen) {
                 // Said twice by one member is said once.
-                evidence.saw(by, server, *standing);
-                evidence.saw(by, server, *standing);
+                evidence.observe(reporter, server, *standing);
+                evidence.observe(reporter, server, *standing);
             }
-            assert_eq!(evidence.withdrawn(server, false), withdrawn, "{seen:?}");
-            assert_eq!(evidence.serves(server), serves, "{seen:?}");
+            assert_eq!(evidence.withdrawal(server, false), withdrawn, "{seen:?}");
+            assert_eq!(evidence.seen_serving(server), serves, "{seen:?}");
         }
     }
 
     #[test]
     fn who_carries_a_withdrawal_counts_beside_who_saw_it_until_that_is_settled() {
         let (server, mut evidence) = (ServerKey(1), Evidence::default());
-        evidence.carries(5, MemberId(0), server, Standing::Gone);
-        evidence.saw(MemberId(0), server, Some(Standing::Gone));
-        assert_eq!(evidence.withdrawn(server, true), None, "both by one member");
-        evidence.carries(9, MemberId(1), server, Standing::Draining);
-        assert_eq!(evidence.withdrawn(server, true), Some(Standing::Draining));
-        assert_eq!(evidence.withdrawn(server, false), None);
-        assert_eq!(evidence.carried_since(server), Some(5));
-        evidence.settled(server);
-        assert_eq!(evidence.withdrawn(server, true), None);
-        evidence.saw(MemberId(0), server, None);
+        evidence.observe_inherited(5, MemberId(0), server, Standing::Gone);
+        evidence.observe(MemberId(0), server, Some(Standing::Gone));
+        assert_eq!(evidence.withdrawal(server, true), None, "both by one member");
+        evidence.observe_inherited(9, MemberId(1), server, Standing::Draining);
+        assert_eq!(evidence.withdrawal(server, true), Some(Standing::Draining));
+        assert_eq!(evidence.withdrawal(server, false), None);
+        assert_eq!(evidence.inherited_since(server), Some(5));
+        evidence.clear_inherited(server);
+        assert_eq!(evidence.withdrawal(server, true), None);
+        evidence.observe(MemberId(0), server, None);
         assert_eq!(evidence, Evidence::default(), "nothing is kept");
     }
 }
--- a/crates/peers/src/coordinator/mod.rs
+++ b/crates/peers/src/coordinator/mod.rs
@@ -37,109 +37,109 @@
 //! call for votes goes to each once in `election`.
 
 mod api;
+mod directives;
 mod election;
 mod evidence;
-mod follow;
-mod office;
+mod follower;
+mod leadership;
 mod term;
-mod words;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 pub use api::{Input, Output, Role};
-pub use term::{CARRIED, Message, Term, WORDS, Word};
+pub use term::{Directive, MAX_DIRECTIVES, MAX_INHERITED, Message, Term};
 
 use crate::api::{Asking, Config, MemberId, Millis, Reach, ServerKey, Standing};
 use crate::lists::{Changed, Lists, Pace};
+use directives::AppliedDirectives;
 use election::{Candidacy, Promise};
 use evidence::Evidence;
-use office::{Leaving, Office};
-use words::Obeyed;
+use leadership::{Leadership, Resignation};
 
 /// After so many leases without a coordinator's word its withdrawals are obeyed no more.
-pub const LAPSE: u64 = 30;
+pub const WITHDRAWAL_TTL_LEASES: u64 = 30;
 
 /// What follows from the configuration. Times in milliseconds.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Setup {
+struct Params {
     me: MemberId,
     incarnation: u64,
     seed: u64,
     /// The configured members of the region, this one included.
-    region: Vec<MemberId>,
+    region_members: Vec<MemberId>,
     majority: usize,
     /// The longest promise.
     lease: Millis,
     /// The promise that goes with a vote: short, so that a split vote does not bind for a whole lease.
-    vote: Millis,
-    election: Millis,
-    outage: Millis,
+    vote_duration: Millis,
+    election_timeout: Millis,
+    outage_threshold: Millis,
     /// Until when this process is too new to vote.
-    quarantine: Millis,
+    quarantine_until: Millis,
     /// By how many parts in a million two clocks may differ in speed.
-    drift: u64,
+    drift_ppm: u64,
 }
 
 /// A million parts.
-const WHOLE: u64 = 1_000_000;
+const PPM: u64 = 1_000_000;
 
-impl Setup {
+impl Params {
     /// For how long a promise can be counted on, by the clock of whom it was made to.
-    fn usable(&self, lasts: Millis) -> Millis {
-        lasts.saturating_mul(WHOLE - self.drift) / (WHOLE + self.drift)
+    fn usable_lease(&self, duration: Millis) -> Millis {
+        duration.saturating_mul(PPM - self.drift_ppm) / (PPM + self.drift_ppm)
     }
 
-    fn others(&self) -> impl Iterator<Item = MemberId> + use<> {
+    fn other_members(&self) -> impl Iterator<Item = MemberId> + use<> {
         let me = self.me;
-        self.region.clone().into_iter().filter(move |member| *member != me)
+        self.region_members.clone().into_iter().filter(move |member| *member != me)
     }
 }
 
 /// A member's part in its region's coordination. The same inputs give the same outputs.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Coordinator {
-    setup: Arc<Setup>,
+    params: Arc<Params>,
     /// The highest term that it knows of.
-    known: Term,
+    highest_term: Term,
     /// The highest number that it was refused for.
-    floor: u64,
+    number_floor: u64,
     promise: Option<Promise>,
     /// Which run of each member was heard last.
-    lives: BTreeMap<MemberId, u64>,
+    incarnations: BTreeMap<MemberId, u64>,
     /// How each sees discovery, and since when that is known here.
-    reaches: BTreeMap<MemberId, (Reach, Millis)>,
-    gone: BTreeSet<MemberId>,
-    stand_at: Option<Millis>,
-    attempts: u64,
+    discovery_reach: BTreeMap<MemberId, (Reach, Millis)>,
+    dead_members: BTreeSet<MemberId>,
+    candidacy_at: Option<Millis>,
+    election_attempts: u64,
     candidacy: Option<Candidacy>,
-    office: Option<Office>,
-    leaving: Option<Leaving>,
+    leadership: Option<Leadership>,
+    resignation: Option<Resignation>,
     /// The coordinator that is heard, and until when that counts.
-    heard: Option<(Term, Millis)>,
-    obeyed: Obeyed,
+    following: Option<(Term, Millis)>,
+    applied: AppliedDirectives,
     evidence: Evidence,
     /// What this member's process was told to be withdrawn.
-    in_force: BTreeMap<ServerKey, Standing>,
-    asked: Asking,
-    wake: Option<Millis>,
-    refused: Figure,
+    reported_withdrawals: BTreeMap<ServerKey, Standing>,
+    polling: Asking,
+    next_wake: Option<Millis>,
+    stale_rejected: Counter,
     lists: Lists,
 }
 
 /// A count for the operators, which decides nothing: states that differ in it alone are one.
 #[derive(Debug, Clone, Copy)]
-struct Figure(u64);
+struct Counter(u64);
 
-impl PartialEq for Figure {
-    fn eq(&self, _: &Figure) -> bool {
+impl PartialEq for Counter {
+    fn eq(&self, _: &Counter) -> bool {
         true
     }
 }
 
-impl Eq for Figure {}
+impl Eq for Counter {}
 
-impl std::hash::Hash for Figure {
+impl std::hash::Hash for Counter {
     fn hash<H: std::hash::Hasher>(&self, _: &mut H) {}
 }
 
@@ -155,28 +155,28 @@
     /// A member's part, from the start of its process. `incarnation` is higher at each start.
     pub fn new(config: Arc<Config>, now: Millis, incarnation: u64, seed: u64) -> Coordinator {
         let me = config.me;
-        let home = config.members.get(usize::from(me.0)).map(|member| member.region);
-        let region: Vec<MemberId> = (0..=u16::MAX)
+        let own_region = config.members.get(usize::from(me.0)).map(|member| member.region);
+        let region_members: Vec<MemberId> = (0..=u16::MAX)
             .zip(&config.members)
-            .filter(|(_, member)| Some(member.region) == home)
+            .filter(|(_, member)| Some(member.region) == own_region)
             .map(|(id, _)| MemberId(id))
             .collect();
         let timing = &config.timing;
         // The cast saturates, and a share that is no number is none.
-        let drift = ((timing.drift * WHOLE as f64).ceil() as u64).min(WHOLE - 1);
-        let longest = timing.lease.saturating_mul(WHOLE + drift).div_ceil(WHOLE - drift);
-        let setup = Setup {
+        let drift_ppm = ((timing.drift * PPM as f64).ceil() as u64).min(PPM - 1);
+        let longest_promise = timing.lease.saturating_mul(PPM + drift_ppm).div_ceil(PPM - drift_ppm);
+        let params = Params {
             me,
             incarnation,
             seed,
-            majority: region.len() / 2 + 1,
-            region,
+            majority: region_members.len() / 2 + 1,
+            region_members,
             lease: timing.lease,
-            vote: timing.lease.min(4 * timing.election).max(1),
-            election: timing.election.max(1),
-            outage: timing.outage,
-            quarantine: now.saturating_add(longest).saturating_add(timing.election),
-            drift,
+            vote_duration: timing.lease.min(4 * timing.election).max(1),
+            election_timeout: timing.election.max(1),
+            outage_threshold: timing.outage,
+            quarantine_until: now.saturating_add(longest_promise).saturating_add(timing.election),
+            drift_ppm,
         };
         let pace = Pace {
             me,
@@ -186,84 +186,84 @@
             seed,
         };
         Coordinator {
-            setup: Arc::new(setup),
-            known: Term::NONE,
-            floor: 0,
+            params: Arc::new(params),
+            highest_term: Term::NONE,
+            number_floor: 0,
             promise: None,
-            lives: BTreeMap::new(),
-            reaches: BTreeMap::new(),
-            gone: BTreeSet::new(),
-            stand_at: None,
-            attempts: 0,
+            incarnations: BTreeMap::new(),
+            discovery_reach: BTreeMap::new(),
+            dead_members: BTreeSet::new(),
+            candidacy_at: None,
+            election_attempts: 0,
             candidacy: None,
-            office: None,
-            leaving: None,
-            heard: None,
-            obeyed: Obeyed::new(),
+            leadership: None,
+            resignation: None,
+            following: None,
+            applied: AppliedDirectives::new(),
             evidence: Evidence::default(),
-            in_force: BTreeMap::new(),
-            asked: Asking::Usual,
-            wake: None,
-            refused: Figure(0),
+            reported_withdrawals: BTreeMap::new(),
+            polling: Asking::Usual,
+            next_wake: None,
+            stale_rejected: Counter(0),
             lists: Lists::new(pace, now),
         }
     }
 
     /// Takes in what happened at `now`, by this member's clock, and appends what should be done.
-    pub fn handle(&mut self, now: Millis, input: Input, out: &mut Vec<Output>) {
-        self.check_lease(now, out);
+    pub fn handle(&mut self, now: Millis, input: Input, actions: &mut Vec<Output>) {
+        self.drop_expired_lease(now, actions);
         let mut changed = Changed::new();
         match input {
             // Whoever keeps one timer only has none now.
-            Input::Woke => self.wake = None,
+            Input::Woke => self.next_wake = None,
             Input::Message { from, incarnation, message } => {
-                self.message(now, from, incarnation, message, &mut changed, out);
+                self.on_message(now, from, incarnation, message, &mut changed, actions);
             }
-            Input::DiscoveryReach { member, reach } => self.reach(now, member, reach),
+            Input::DiscoveryReach { member, reach } => self.set_reach(now, member, reach),
             Input::Liveness { member, alive } => {
                 if alive {
-                    self.gone.remove(&member);
-                } else if member != self.setup.me {
-                    self.gone.insert(member);
+                    self.dead_members.remove(&member);
+                } else if member != self.params.me {
+                    self.dead_members.insert(member);
                     self.lists.gone(member);
                 }
             }
             Input::ListUpdate { version, complete, entries } => {
-                self.reach(now, self.setup.me, Reach::Up);
-                self.lists.listed(version, complete, &entries, &mut changed, out);
+                self.set_reach(now, self.params.me, Reach::Up);
+                self.lists.listed(version, complete, &entries, &mut changed, actions);
                 for server in changed.drain(..) {
                     self.evidence.forget(server);
                 }
             }
             Input::Evidence { reporter, server, standing } => {
-                if self.setup.region.contains(&reporter) {
-                    self.evidence.saw(reporter, server, standing);
-                    self.judge(now, server);
+                if self.params.region_members.contains(&reporter) {
+                    self.evidence.observe(reporter, server, standing);
+                    self.evaluate(now, server);
                 }
             }
             Input::ListFact { member, body } => self.lists.fact(member, &body),
         }
         for server in &changed {
-            self.relisted(now, *server);
+            self.on_entry_updated(now, *server);
         }
-        self.elect(now, out);
-        self.keep_office(now, out);
-        self.speak(now, out);
-        self.keep_leaving(now, out);
-        self.lapse(now, out);
+        self.run_election(now, actions);
+        self.maintain_leadership(now, actions);
+        self.send_directives(now, actions);
+        self.announce_resignation(now, actions);
+        self.expire(now, actions);
         let down = |(member, (reach, _)): (&MemberId, &(Reach, Millis))| {
-            *reach == Reach::Down && !self.gone.contains(member)
+            *reach == Reach::Down && !self.dead_members.contains(member)
         };
-        let trouble = self.reaches.iter().any(down);
-        self.lists.tick(now, trouble, out);
-        self.settle(&changed, out);
-        self.ask(now, out);
-        self.wake(now, out);
+        let discovery_down = self.discovery_reach.iter().any(down);
+        self.lists.tick(now, discovery_down, actions);
+        self.report_changes(&changed, actions);
+        self.update_polling(now, actions);
+        self.schedule_wake(now, actions);
     }
 
     /// What this member is, as of the last call.
     pub fn role(&self) -> Role {
-        match (&self.office, &self.candidacy, &self.heard) {
+        match (&self.leadership, &self.candidacy, &self.following) {
             (Some(_), ..) => Role::Coordinator,
             (_, Some(_), _) => Role::Candidate,
             (_, _, Some(_)) => Role::Follower,
@@ -273,22 +273,22 @@
 
     /// The highest term it knows of.
     pub fn term(&self) -> Term {
-        self.known
+        self.highest_term
     }
 
     /// The term whose words it obeys, and up to which number it has heard them.
-    pub fn obeys(&self) -> (Term, u32) {
-        (self.obeyed.term, self.obeyed.through)
+    pub fn applied_through(&self) -> (Term, u32) {
+        (self.applied.term, self.applied.through)
     }
 
     /// What is withdrawn by coordinators' words, as far as this member has heard.
     pub fn withdrawn(&self) -> Vec<(ServerKey, Standing)> {
-        self.obeyed.all().collect()
+        self.applied.withdrawals().collect()
     }
 
     /// How many words and renewals of older terms it refused.
     pub fn stale_rejected(&self) -> u64 {
-        self.refused.0
+        self.stale_rejected.0
     }
 
     /// The list.
@@ -296,97 +296,104 @@
         &self.lists
     }
 
-    fn message(
+    fn on_message(
         &mut self,
         now: Millis,
         from: MemberId,
         incarnation: u64,
         message: Message,
         changed: &mut Changed,
-        out: &mut Vec<Output>,
+        actions: &mut Vec<Output>,
     ) {
-        if from == self.setup.me {
+        if from == self.params.me {
             return;
         }
         if let Message::List(message) = message {
-            self.lists.message(now, from, message, changed, out);
+            self.lists.message(now, from, message, changed, actions);
             return;
         }
-        if !self.setup.region.contains(&from) {
+        if !self.params.region_members.contains(&from) {
             return;
         }
-        match self.lives.get(&from) {
-            Some(life) if incarnation < *life => return,
-            Some(life) if incarnation == *life => {}
+        match self.incarnations.get(&from) {
+            Some(latest) if incarnation < *latest => return,
+            Some(latest) if incarnation == *latest => {}
             _ => {
-                self.lives.insert(from, incarnation);
-                self.reborn(from);
+                self.incarnations.insert(from, incarnation);
+                self.on_member_restarted(from);
             }
         }
         // Nobody speaks for another's term.
-        let speaks = |term: &Term| term.candidate == from && term.incarnation == incarnation;
+        let is_senders_term = |term: &Term| term.candidate == from && term.incarnation == incarnation;
         match message {
-            Message::Call { term, at, lasts } if speaks(&term) && self.plausible(&term) => {
-                self.called(now, term, at, lasts, out);
+            Message::RequestVote { term, sent_at, duration }
+                if is_senders_term(&term) && self.is_plausible(&term) =>
+            {
+                self.on_vote_request(now, term, sent_at, duration, actions);
+            }
+            Message::GrantVote { term, sent_at } => self.on_vote_granted(now, from, term, sent_at, actions),
+            Message::Reject { term, highest_term } => {
+                self.on_rejection(now, from, term, highest_term, actions)
             }
-            Message::Grant { term, at } => self.granted(now, from, term, at, out),
-            Message::Refuse { term, known } => self.refused_by(now, from, term, known, out),
-            Message::Renew { term, to, at, lasts, words: _, list }
-                if speaks(&term) && self.plausible(&term) =>
+            Message::Renew { term, to_incarnation, sent_at, duration, last_directive: _, list }
+                if is_senders_term(&term) && self.is_plausible(&term) =>
             {
-                self.renewed(now, term, to, at, lasts, list, out);
+                self.on_renewal(now, term, to_incarnation, sent_at, duration, list, actions);
             }
-            Message::Held { term, at, through, carried } => {
-                self.held(now, from, term, at, through, &carried);
+            Message::Ack { term, sent_at, through, inherited } => {
+                self.on_ack(now, from, term, sent_at, through, &inherited);
             }
-            Message::Words { term, to, after, upto, words } if speaks(&term) && self.plausible(&term) => {
-                self.worded(now, term, to, after, upto, &words, out);
+            Message::Directives { term, to_incarnation, after, up_to, directives }
+                if is_senders_term(&term) && self.is_plausible(&term) =>
+            {
+                self.on_directives(now, term, to_incarnation, after, up_to, &directives, actions);
             }
-            Message::Stood { term, back } if speaks(&term) => {
-                self.stood(now, term, back);
-                if back {
-                    out.push(Output::Send { to: from, message: Message::StoodHeard { term } });
+            Message::TermEnded { term, discovery_back } if is_senders_term(&term) => {
+                self.on_term_ended(now, term, discovery_back);
+                if discovery_back {
+                    actions.push(Output::Send { to: from, message: Message::TermEndedAck { term } });
                 }
             }
-            Message::StoodHeard { term } => self.stood_heard(from, term),
+            Message::TermEndedAck { term } => self.on_term_ended_ack(from, term),
             _ => {}
         }
     }
 
-    fn ask(&mut self, now: Millis, out: &mut Vec<Output>) {
-        let asking = match self.role() {
-            Role::Coordinator if self.acting(now) => Asking::Often,
+    fn update_polling(&mut self, now: Millis, actions: &mut Vec<Output>) {
+        let polling = match self.role() {
+            Role::Coordinator if self.is_acting(now) => Asking::Often,
             Role::Follower if self.own_reach() == Some(Reach::Down) => Asking::Seldom,
             _ => Asking::Usual,
         };
-        if asking != self.asked {
-            self.asked = asking;
-            out.push(Output::SetPolling(asking));
+        if polling != self.polling {
+            self.polling = polling;
+            actions.push(Output::SetPolling(polling));
         }
     }
 
     /// Asks to be woken when something is due next.
-    fn wake(&mut self, now: Millis, out: &mut Vec<Output>) {
-        let lapse = (!self.obeyed.is_empty()).then(|| self.obeyed.at + LAPSE * self.setup.lease);
-        let quarantine = self.quarantined(now).then_some(self.setup.quarantine);
-        let free = self.promise.map(|promise| promise.until).filter(|until| *until > now);
+    fn schedule_wake(&mut self, now: Millis, actions: &mut Vec<Output>) {
+        let withdrawals_expire = (!self.applied.is_empty())
+            .then(|| self.applied.last_contact + WITHDRAWAL_TTL_LEASES * self.params.lease);
+        let quarantine = self.quarantined(now).then_some(self.params.quarantine_until);
+        let promise_ends = self.promise.map(|promise| promise.until).filter(|until| *until > now);
         let times = [
             self.needed_at(now),
             quarantine,
-            free,
-            self.stand_at,
-            self.candidacy.as_ref().map(|candidacy| candidacy.ends.min(candidacy.again)),
-            self.office.as_ref().map(|office| office.renew),
+            promise_ends,
+            self.candidacy_at,
+            self.candidacy.as_ref().map(|candidacy| candidacy.ends_at.min(candidacy.resend_at)),
+            self.leadership.as_ref().map(|leadership| leadership.renew_at),
             self.lease_until(),
-            self.leaving.as_ref().map(|leaving| leaving.again),
-            self.heard.map(|(_, until)| until),
-            lapse,
+            self.resignation.as_ref().map(|resignation| resignation.resend_at),
+            self.following.map(|(_, until)| until),
+            withdrawals_expire,
             self.lists.next(),
         ];
         let Some(next) = times.into_iter().flatten().min().map(|at| at.max(now + 1)) else { return };
-        if self.wake.is_none_or(|wake| wake <= now || next < wake) {
-            self.wake = Some(next);
-            out.push(Output::WakeAt(next));
+        if self.next_wake.is_none_or(|wake| wake <= now || next < wake) {
+            self.next_wake = Some(next);
+            actions.push(Output::WakeAt(next));
         }
     }
 }
--- a/crates/peers/src/coordinator/term.rs
+++ b/crates/peers/src/coordinator/term.rs
@@ -31,7 +31,7 @@
 /// What a coordinator says of one server. In each term the numbers count up from one; of the words about one server
 /// the last one counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Word {
+pub struct Directive {
     /// Its number in its term.
     pub number: u32,
     /// Which server.
@@ -41,86 +41,86 @@
 }
 
 /// Words in one datagram at most: 8 of at most 16 bytes, and up to 50 for the rest, stay under 200.
-pub const WORDS: usize = 8;
+pub const MAX_DIRECTIVES: usize = 8;
 
 /// Withdrawals of former terms that a member tells with one acknowledgement at most.
-pub const CARRIED: usize = 8;
+pub const MAX_INHERITED: usize = 8;
 
 /// What members tell each other; 200 bytes of `postcard` at most. Each is harmless when lost, late or doubled.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
     /// Promise to follow nobody else for a while: a candidate's call for votes.
-    Call {
+    RequestVote {
         /// What it stands for.
         term: Term,
         /// When this was sent, by the candidate's clock: its lease counts from then.
-        at: u64,
+        sent_at: u64,
         /// How long the promise lasts by the voter's clock.
-        lasts: u32,
+        duration: u32,
     },
     /// The promise.
-    Grant {
+    GrantVote {
         /// The term of the call.
         term: Term,
         /// The time of the call.
-        at: u64,
+        sent_at: u64,
     },
     /// No: a higher term is known, or another has the promise.
-    Refuse {
+    Reject {
         /// What was refused.
         term: Term,
         /// The highest known.
-        known: Term,
+        highest_term: Term,
     },
     /// The coordinator says that it goes on, and asks for the promise once more.
     Renew {
         /// Its term.
         term: Term,
         /// The incarnation of whom it is sent to, 0 where that is not known yet.
-        to: u64,
+        to_incarnation: u64,
         /// When this was sent, by the coordinator's clock.
-        at: u64,
+        sent_at: u64,
         /// How long the promise lasts by the member's clock.
-        lasts: u32,
+        duration: u32,
         /// The number of its last word.
-        words: u32,
+        last_directive: u32,
         /// Which list it holds.
         list: Rank,
     },
     /// The answer to a renewal, and to words.
-    Held {
+    Ack {
         /// The term.
         term: Term,
         /// The time of the renewal, or nothing where no promise goes with this.
-        at: Option<u64>,
+        sent_at: Option<u64>,
         /// All words up to this number were heard.
         through: u32,
         /// Withdrawals of former terms that this term has said nothing of, up to [`CARRIED`].
-        carried: Vec<(ServerKey, Standing)>,
+        inherited: Vec<(ServerKey, Standing)>,
     },
     /// Words.
-    Words {
+    Directives {
         /// Whose.
         term: Term,
         /// The incarnation of whom it is sent to: a word to a former run is none for this one.
-        to: u64,
+        to_incarnation: u64,
         /// All that still count after this number...
         after: u32,
         /// ...up to this one...
-        upto: u32,
+        up_to: u32,
         /// ...are these, in the order of their numbers.
-        words: Vec<Word>,
+        directives: Vec<Directive>,
     },
     /// The term is over: its candidate has given it up, whether or not it was elected. No promise is needed any
     /// more.
-    Stood {
+    TermEnded {
         /// Which.
         term: Term,
         /// It was the coordinator's, and discovery is back: all withdrawals end.
-        back: bool,
+        discovery_back: bool,
     },
     /// The answer to that.
-    StoodHeard {
+    TermEndedAck {
         /// Which.
         term: Term,
     },
--- a/crates/peers/src/coordinator/tests.rs
+++ b/crates/peers/src/coordinator/tests.rs
@@ -84,17 +84,17 @@
 
     pub fn input(&mut self, id: u16, input: Input) {
         let node = &mut self.nodes[usize::from(id)];
-        let mut out = Vec::new();
-        node.handle(self.now, input, &mut out);
-        for output in out {
+        let mut actions = Vec::new();
+        node.handle(self.now, input, &mut actions);
+        for output in actions {
             match output {
                 Output::Send { to, message } => {
                     let size = postcard::to_allocvec(&message).expect("it encodes").len();
                     assert!(size <= 200, "{size} bytes: {message:?}");
                     self.sent += 1;
                     if self.lose_one_in == 0 || !splitmix64(3, self.sent).is_multiple_of(self.lose_one_in) {
-                        let life = node.setup.incarnation;
-                        self.net.push((self.now + 5, id, to.0, life, message));
+                        let incarnation = node.params.incarnation;
+                        self.net.push((self.now + 5, id, to.0, incarnation, message));
                     }
                 }
                 Output::WakeAt(at) => {
@@ -106,7 +106,7 @@
         }
     }
 
-    pub fn all(&mut self, input: &Input) {
+    pub fn input_all(&mut self, input: &Input) {
         for id in 0..self.outputs.len() as u16 {
             self.input(id, input.clone());
         }
@@ -114,24 +114,24 @@
 
     /// All members hear how one sees discovery.
     pub fn set_reach(&mut self, member: u16, reach: Reach) {
-        self.all(&Input::DiscoveryReach { member: MemberId(member), reach });
+        self.input_all(&Input::DiscoveryReach { member: MemberId(member), reach });
     }
 
-    pub fn outage(&mut self) {
+    pub fn lose_discovery(&mut self) {
         for member in 0..self.outputs.len() as u16 {
             self.set_reach(member, Reach::Down);
         }
     }
 
     /// All hear what one saw.
-    pub fn saw(&mut self, by: u16, server: u16, standing: Option<Standing>) {
-        self.all(&Input::Evidence { reporter: MemberId(by), server: key(server), standing });
+    pub fn report_evidence(&mut self, by: u16, server: u16, standing: Option<Standing>) {
+        self.input_all(&Input::Evidence { reporter: MemberId(by), server: key(server), standing });
     }
 
     pub fn restart(&mut self, id: u16) {
         let members = self.outputs.len() as u16;
-        let life = self.nodes[usize::from(id)].setup.incarnation + 1;
-        self.nodes[usize::from(id)] = Coordinator::new(config(id, members), self.now, life, 7);
+        let incarnation = self.nodes[usize::from(id)].params.incarnation + 1;
+        self.nodes[usize::from(id)] = Coordinator::new(config(id, members), self.now, incarnation, 7);
         self.wakes.insert(id, self.now);
     }
 
@@ -153,13 +153,13 @@
                 self.wakes.remove(&id);
                 self.input(id, Input::Woke);
             }
-            let acting = self.nodes.iter().filter(|node| node.acting(now)).count();
+            let acting = self.nodes.iter().filter(|node| node.is_acting(now)).count();
             assert!(acting <= 1, "{acting} coordinators");
         }
     }
 
     pub fn coordinator(&self) -> Option<u16> {
-        (0..).zip(&self.nodes).find(|(_, node)| node.acting(self.now)).map(|(id, _)| id)
+        (0..).zip(&self.nodes).find(|(_, node)| node.is_acting(self.now)).map(|(id, _)| id)
     }
 
     /// How a member's process was last told that a server stands, and by whom.
@@ -172,7 +172,7 @@
         })
     }
 
-    fn asks(&self, id: u16) -> Option<Asking> {
+    fn polling(&self, id: u16) -> Option<Asking> {
         self.outputs[usize::from(id)].iter().rev().find_map(|output| match output {
             Output::SetPolling(asking) => Some(*asking),
             _ => None,
@@ -181,10 +181,10 @@
 }
 
 /// A region that holds a list of so many servers and has a coordinator.
-fn governed(members: u16, servers: u16) -> (Fleet, u16) {
+fn region_with_coordinator(members: u16, servers: u16) -> (Fleet, u16) {
     let mut fleet = Fleet::new(members);
-    fleet.all(&Input::ListUpdate { version: 1, complete: true, entries: list(servers) });
-    fleet.outage();
+    fleet.input_all(&Input::ListUpdate { version: 1, complete: true, entries: list(servers) });
+    fleet.lose_discovery();
     fleet.run(2_500);
     let first = fleet.coordinator().expect("one is elected");
     (fleet, first)
@@ -205,7 +205,7 @@
         assert_eq!(fleet.coordinator().is_some(), elected, "{down} of {members}");
         if let Some(id) = fleet.coordinator() {
             assert!(id < down, "one of those without discovery");
-            let all: Vec<Option<Asking>> = (0..members).map(|id| fleet.asks(id)).collect();
+            let all: Vec<Option<Asking>> = (0..members).map(|id| fleet.polling(id)).collect();
             let expected = |member| match member {
                 member if member == id => Some(Asking::Often),
                 member if member < down => Some(Asking::Seldom),
@@ -219,7 +219,7 @@
 #[test]
 fn without_most_of_its_members_a_region_has_none() {
     let mut fleet = Fleet::new(5);
-    fleet.outage();
+    fleet.lose_discovery();
     fleet.stopped = BTreeSet::from([2, 3, 4]);
     fleet.run(10_000);
     assert_eq!(fleet.coordinator(), None);
@@ -230,7 +230,7 @@
 
 #[test]
 fn one_that_was_stopped_past_its_lease_wakes_as_none_and_follows_its_successor() {
-    let (mut fleet, first) = governed(5, 4);
+    let (mut fleet, first) = region_with_coordinator(5, 4);
     fleet.stopped.insert(first);
     fleet.run(4_000);
     let second = fleet.coordinator().expect("a successor");
@@ -249,15 +249,23 @@
 
 #[test]
 fn older_words_are_refused_and_counted_and_the_holder_takes_a_higher_number() {
-    let (mut fleet, first) = governed(3, 4);
+    let (mut fleet, first) = region_with_coordinator(3, 4);
     let member = (first + 1) % 3;
     let term = fleet.nodes[usize::from(first)].term();
     // The member knows a higher term of a candidate that was never elected.
     let late = Term { number: term.number + 3, candidate: MemberId((first + 2) % 3), incarnation: 1 };
-    let message = Message::Renew { term: late, to: 1, at: 0, lasts: 0, words: 0, list: Default::default() };
+    let message = Message::Renew {
+        term: late,
+        to_incarnation: 1,
+        sent_at: 0,
+        duration: 0,
+        last_directive: 0,
+        list: Default::default(),
+    };
     fleet.input(member, Input::Message { from: late.candidate, incarnation: 1, message });
-    let word = Word { number: 1, server: key(0), standing: Standing::Gone };
-    let old = Message::Words { term, to: 1, after: 0, upto: 1, words: vec![word] };
+    let directive = Directive { number: 1, server: key(0), standing: Standing::Gone };
+    let old =
+        Message::Directives { term, to_incarnation: 1, after: 0, up_to: 1, directives: vec![directive] };
     fleet.input(member, Input::Message { from: MemberId(first), incarnation: 1, message: old });
     let node = &fleet.nodes[usize::from(member)];
     assert_eq!((node.stale_rejected(), node.withdrawn()), (1, Vec::new()));
@@ -265,31 +273,32 @@
     assert_eq!(fleet.coordinator(), Some(first));
     let now = fleet.nodes[usize::from(first)].term();
     assert!(now > late && now.same_run(&term));
-    assert!(fleet.nodes.iter().all(|node| node.obeys().0 == now));
+    assert!(fleet.nodes.iter().all(|node| node.applied_through().0 == now));
 }
 
 #[test]
 fn a_word_to_a_former_run_or_in_anothers_name_is_not_obeyed() {
     let mut fleet = Fleet::new(3);
-    fleet.all(&Input::ListUpdate { version: 1, complete: true, entries: list(4) });
+    fleet.input_all(&Input::ListUpdate { version: 1, complete: true, entries: list(4) });
     let term = Term { number: 9, candidate: MemberId(0), incarnation: 1 };
-    let word = Word { number: 1, server: key(0), standing: Standing::Gone };
+    let directive = Directive { number: 1, server: key(0), standing: Standing::Gone };
     // To which run, from whom and in which run of it.
-    for (to, from, incarnation) in [(0, 0, 1), (2, 0, 1), (1, 2, 1), (1, 0, 2)] {
-        let message = Message::Words { term, to, after: 0, upto: 1, words: vec![word] };
+    for (to_incarnation, from, incarnation) in [(0, 0, 1), (2, 0, 1), (1, 2, 1), (1, 0, 2)] {
+        let message =
+            Message::Directives { term, to_incarnation, after: 0, up_to: 1, directives: vec![directive] };
         fleet.input(1, Input::Message { from: MemberId(from), incarnation, message });
-        assert!(fleet.nodes[1].withdrawn().is_empty(), "{to} {from} {incarnation}");
+        assert!(fleet.nodes[1].withdrawn().is_empty(), "{to_incarnation} {from} {incarnation}");
     }
 }
 
 #[test]
 fn two_members_evidence_withdraws_for_all_and_the_coordinator_gives_back() {
-    let (mut fleet, first) = governed(5, 4);
+    let (mut fleet, first) = region_with_coordinator(5, 4);
     fleet.lose_one_in = 3;
-    fleet.saw(0, 1, Some(Standing::Gone));
+    fleet.report_evidence(0, 1, Some(Standing::Gone));
     fleet.run(3_000);
     assert_eq!(fleet.notified(2, 1), None, "one alone");
-    fleet.saw(1, 1, Some(Standing::Draining));
+    fleet.report_evidence(1, 1, Some(Standing::Draining));
     // One that was restarted, and one that heard nothing meanwhile, come level.
     let other = (first + 1) % 5;
     fleet.run(3_000);
@@ -302,14 +311,14 @@
     }
     // Half of four servers stay, whatever is seen.
     for server in 0..4 {
-        fleet.saw(3, server, Some(Standing::Gone));
-        fleet.saw(4, server, Some(Standing::Gone));
+        fleet.report_evidence(3, server, Some(Standing::Gone));
+        fleet.report_evidence(4, server, Some(Standing::Gone));
     }
     fleet.run(2_000);
     assert_eq!(fleet.nodes[usize::from(first)].withdrawn().len(), 2);
     for server in 0..4 {
-        fleet.saw(3, server, Some(Standing::Serving));
-        fleet.saw(4, server, Some(Standing::Serving));
+        fleet.report_evidence(3, server, Some(Standing::Serving));
+        fleet.report_evidence(4, server, Some(Standing::Serving));
     }
     fleet.run(3_000);
     for id in 0..5 {
@@ -319,19 +328,19 @@
 
 #[test]
 fn a_successor_withdraws_itself_what_the_former_did_and_gives_back_without_evidence() {
-    let (mut fleet, first) = governed(5, 4);
-    fleet.saw(0, 1, Some(Standing::Gone));
-    fleet.saw(1, 1, Some(Standing::Gone));
+    let (mut fleet, first) = region_with_coordinator(5, 4);
+    fleet.report_evidence(0, 1, Some(Standing::Gone));
+    fleet.report_evidence(1, 1, Some(Standing::Gone));
     fleet.run(1_000);
     fleet.stopped.insert(first);
     for by in [0, 1] {
-        fleet.saw(by, 1, None);
+        fleet.report_evidence(by, 1, None);
     }
     fleet.run(5_000);
     let second = fleet.coordinator().expect("a successor");
     let watched = (0..5).find(|id| *id != first && *id != second).expect("another");
     assert_eq!(fleet.notified(watched, 1), Some((Standing::Gone, Because::Withdrawn)));
-    let (term, through) = fleet.nodes[usize::from(watched)].obeys();
+    let (term, through) = fleet.nodes[usize::from(watched)].applied_through();
     assert_eq!((term.candidate, through), (MemberId(second), 1), "under its own term");
     fleet.run(15_000);
     assert_eq!(fleet.notified(watched, 1), Some((Standing::Serving, Because::GivenBack)));
@@ -339,9 +348,9 @@
 
 #[test]
 fn discovery_wins_at_once_and_all_withdrawals_end() {
-    let (mut fleet, first) = governed(5, 4);
-    fleet.saw(0, 1, Some(Standing::Gone));
-    fleet.saw(1, 1, Some(Standing::Gone));
+    let (mut fleet, first) = region_with_coordinator(5, 4);
+    fleet.report_evidence(0, 1, Some(Standing::Gone));
+    fleet.report_evidence(1, 1, Some(Standing::Gone));
     fleet.run(1_000);
     // A member's own list counts there, also while the others have none.
     let other = (first + 1) % 5;
@@ -360,7 +369,7 @@
 
 #[test]
 fn where_only_the_coordinator_reaches_discovery_the_next_waits_for_an_outage() {
-    let (mut fleet, first) = governed(5, 4);
+    let (mut fleet, first) = region_with_coordinator(5, 4);
     fleet.set_reach(first, Reach::Up);
     fleet.run(1_400);
     assert_eq!(fleet.coordinator(), None);
@@ -373,11 +382,11 @@
 
 #[test]
 fn a_fleet_that_restarts_whole_elects_anew_after_quarantine() {
-    let (mut fleet, _) = governed(3, 4);
+    let (mut fleet, _) = region_with_coordinator(3, 4);
     for id in 0..3 {
         fleet.restart(id);
     }
-    fleet.outage();
+    fleet.lose_discovery();
     fleet.run(2_000);
     assert_eq!(fleet.coordinator(), None, "too new to vote");
     fleet.run(1_000);
@@ -390,7 +399,7 @@
     for (members, lost, within) in [(5, 3, 1_500), (60, 0, 1_000), (60, 3, 1_500)] {
         let mut fleet = Fleet::new(members);
         fleet.lose_one_in = lost;
-        fleet.outage();
+        fleet.lose_discovery();
         fleet.run(1_500 + within);
         assert!(fleet.coordinator().is_some(), "{members} members, one in {lost} lost");
         let first = fleet.coordinator();
@@ -401,9 +410,9 @@
 
 #[test]
 fn withdrawals_lapse_where_no_coordinator_is_heard_for_long() {
-    let (mut fleet, first) = governed(3, 4);
-    fleet.saw(0, 1, Some(Standing::Gone));
-    fleet.saw(1, 1, Some(Standing::Gone));
+    let (mut fleet, first) = region_with_coordinator(3, 4);
+    fleet.report_evidence(0, 1, Some(Standing::Gone));
+    fleet.report_evidence(1, 1, Some(Standing::Gone));
     fleet.run(1_000);
     let alone = (first + 1) % 3;
     fleet.stopped = (0..3).filter(|id| *id != alone).collect();
--- a/crates/peers/tests/model.rs
+++ b/crates/peers/tests/model.rs
@@ -24,13 +24,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
     /// A voter does not remember its promise (it is put back to where it was before).
-    Forgets,
+    ForgottenPromise,
     /// A new process votes at once.
     NoQuarantine,
     /// Clocks are further apart than members were told.
-    Drift,
+    ExcessDrift,
     /// A process's clock stands still while it does.
-    ClockStops,
+    StoppedClock,
 }
 
 #[derive(Debug, Clone)]
@@ -39,25 +39,25 @@
     /// Those who stand: the first so many.
     candidates: u16,
     /// How many milliseconds a tick takes by each clock.
-    rates: Vec<u64>,
+    tick_lengths: Vec<u64>,
     ticks: u8,
     restarts: u8,
     /// How many ticks a message may be under way.
-    delay: u8,
+    message_delay: u8,
     /// The same for answers that do not come at once; 0: they are lost.
-    answers: u8,
+    reply_delay: u8,
     /// Whether there is a list, and a server that two members saw draining.
-    servers: bool,
+    with_servers: bool,
     fault: Option<Fault>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Node {
     clock: u64,
-    life: u64,
+    incarnation: u64,
     coordinator: Coordinator,
     /// The highest term that it ever knew in this life.
-    highest: Term,
+    highest_term: Term,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -65,7 +65,7 @@
     /// Gone when this tick is over.
     until: u8,
     from: u16,
-    life: u64,
+    sender_incarnation: u64,
     to: u16,
     /// Encoded, so that the set has an order.
     message: Vec<u8>,
@@ -78,16 +78,16 @@
     ticks: u8,
     restarts: u8,
     /// How many of the voters anything happened to.
-    touched: u16,
-    back: bool,
+    touched_voters: u16,
+    discovery_back: bool,
     /// A word or renewal went out without a lease.
-    spoke: bool,
+    sent_without_lease: bool,
     /// A word of an older term than the highest known was obeyed.
-    disobeyed: bool,
+    stale_applied: bool,
     /// What was seen to happen: taken office, taken office a second time, stood down, woke past its lease.
-    offices: u8,
-    stood: bool,
-    late: bool,
+    elections: u8,
+    stepped_down: bool,
+    lease_lost: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -100,13 +100,13 @@
     Deliver(Envelope, bool),
     Restart(u16),
     /// Discovery answers a member again.
-    Back(u16),
+    DiscoveryBack(u16),
 }
 
 /// What may come late and twice. Answers change nothing when they come twice.
-fn asks(message: &Message) -> bool {
-    use Message::{Call, Renew, Stood, Words};
-    matches!(message, Call { .. } | Renew { .. } | Words { .. } | Stood { .. })
+fn is_unsolicited(message: &Message) -> bool {
+    use Message::{Directives, Renew, RequestVote, TermEnded};
+    matches!(message, RequestVote { .. } | Renew { .. } | Directives { .. } | TermEnded { .. })
 }
 
 fn config(me: u16, members: u16, drift: f64) -> Arc<Config> {
@@ -142,17 +142,18 @@
 }
 
 impl Fleet {
-    fn node(&self, id: u16, life: u64, clock: u64, state: &mut Option<&mut State>) -> Node {
+    fn node(&self, id: u16, incarnation: u64, clock: u64, state: &mut Option<&mut State>) -> Node {
         // Without quarantine: as though it had begun long ago.
-        let drift = if self.fault == Some(Fault::Drift) { 0.0 } else { 0.1 };
-        let hasty = self.fault == Some(Fault::NoQuarantine);
-        let begun = if hasty || life == 1 { clock - OUTAGE } else { clock };
-        let coordinator = Coordinator::new(config(id, self.members, drift), begun, life, u64::from(id));
-        let mut node = Node { clock, life, coordinator, highest: Term::NONE };
+        let drift = if self.fault == Some(Fault::ExcessDrift) { 0.0 } else { 0.1 };
+        let no_quarantine = self.fault == Some(Fault::NoQuarantine);
+        let started_at = if no_quarantine || incarnation == 1 { clock - OUTAGE } else { clock };
+        let coordinator =
+            Coordinator::new(config(id, self.members, drift), started_at, incarnation, u64::from(id));
+        let mut node = Node { clock, incarnation, coordinator, highest_term: Term::NONE };
         let before = clock - OUTAGE;
         let mut inputs = Vec::new();
         if id < self.candidates {
-            if self.servers {
+            if self.with_servers {
                 inputs.push(Input::ListUpdate { version: 1, complete: true, entries: list() });
                 for reporter in [0, 1].map(MemberId) {
                     let standing = Some(Standing::Draining);
@@ -163,7 +164,7 @@
             inputs.extend((0..self.members).map(down));
         }
         // All have heard of each other.
-        let heard = Message::StoodHeard { term: Term::NONE };
+        let heard = Message::TermEndedAck { term: Term::NONE };
         inputs.extend((0..self.members).map(|from| Input::Message {
             from: MemberId(from),
             incarnation: 1,
@@ -178,64 +179,71 @@
         node
     }
 
-    fn step(&self, state: &mut State, id: u16, input: Input, at_once: bool) {
+    fn step(&self, state: &mut State, id: u16, input: Input, reply_at_once: bool) {
         let Some(shared) = state.nodes.get_mut(usize::from(id)) else { return };
-        let former = Arc::clone(shared);
+        let before = Arc::clone(shared);
         let node = Arc::make_mut(shared);
-        let was = node.coordinator.role();
-        let obeyed = node.coordinator.obeys();
-        let leased = node.coordinator.acting(node.clock);
-        let mut out = Vec::new();
-        node.coordinator.handle(node.clock, input, &mut out);
-        let known = node.coordinator.term();
-        if known < node.highest
-            || (node.coordinator.obeys() != obeyed && node.coordinator.obeys().0 < node.highest)
+        let role_before = node.coordinator.role();
+        let applied_before = node.coordinator.applied_through();
+        let was_acting = node.coordinator.is_acting(node.clock);
+        let mut outputs = Vec::new();
+        node.coordinator.handle(node.clock, input, &mut outputs);
+        let term = node.coordinator.term();
+        if term < node.highest_term
+            || (node.coordinator.applied_through() != applied_before
+                && node.coordinator.applied_through().0 < node.highest_term)
         {
-            state.disobeyed = true;
+            state.stale_applied = true;
         }
-        node.highest = node.highest.max(known);
-        match (was, node.coordinator.role()) {
+        node.highest_term = node.highest_term.max(term);
+        match (role_before, node.coordinator.role()) {
             (Role::Coordinator, Role::Coordinator) => {}
-            (_, Role::Coordinator) => state.offices = (state.offices + 1).min(2),
-            (Role::Coordinator, _) if leased => state.stood = true,
-            (Role::Coordinator, _) => state.late = true,
+            (_, Role::Coordinator) => state.elections = (state.elections + 1).min(2),
+            (Role::Coordinator, _) if was_acting => state.stepped_down = true,
+            (Role::Coordinator, _) => state.lease_lost = true,
             _ => {}
         }
-        let acting = node.coordinator.acting(node.clock);
-        let mut granted = false;
-        let mut answers = Vec::new();
-        let life = node.life;
+        let acting = node.coordinator.is_acting(node.clock);
+        let mut vote_granted = false;
+        let mut replies = Vec::new();
+        let sender_incarnation = node.incarnation;
         let net = Arc::make_mut(&mut state.net);
-        for output in out {
+        for output in outputs {
             match output {
                 // Lists have their own tests.
                 Output::Send { message: Message::List(_), .. } => {}
                 Output::Send { to, message } => {
-                    granted |= matches!(message, Message::Grant { .. });
-                    let speaks = matches!(message, Message::Renew { .. } | Message::Words { .. });
-                    state.spoke |= speaks && !acting;
-                    let asks = asks(&message);
-                    if !asks && at_once {
-                        answers.push((to.0, message));
+                    vote_granted |= matches!(message, Message::GrantVote { .. });
+                    let needs_lease = matches!(message, Message::Renew { .. } | Message::Directives { .. });
+                    state.sent_without_lease |= needs_lease && !acting;
+                    let is_unsolicited = is_unsolicited(&message);
+                    if !is_unsolicited && reply_at_once {
+                        replies.push((to.0, message));
                         continue;
                     }
-                    let delay = if asks { self.delay } else { self.answers };
-                    if !asks && delay == 0 {
+                    let delay = if is_unsolicited { self.message_delay } else { self.reply_delay };
+                    if !is_unsolicited && delay == 0 {
                         continue;
                     }
                     let until = (state.ticks + delay).min(self.ticks);
                     let message = postcard::to_allocvec(&message).expect("it encodes");
                     assert!(message.len() <= 200, "{} bytes", message.len());
-                    net.insert(Envelope { until, from: id, life: node.life, to: to.0, message });
+                    net.insert(Envelope {
+                        until,
+                        from: id,
+                        sender_incarnation: node.incarnation,
+                        to: to.0,
+                        message,
+                    });
                 }
                 _ => {}
             }
         }
-        if granted && self.fault == Some(Fault::Forgets) {
-            *shared = former;
+        if vote_granted && self.fault == Some(Fault::ForgottenPromise) {
+            *shared = before;
         }
-        for (to, message) in answers {
-            let input = Input::Message { from: MemberId(id), incarnation: life, message };
+        for (to, message) in replies {
+            let input = Input::Message { from: MemberId(id), incarnation: sender_incarnation, message };
             self.step(state, to, input, true);
         }
     }
@@ -251,22 +259,22 @@
             net: Arc::new(BTreeSet::new()),
             ticks: 0,
             restarts: 0,
-            touched: 0,
-            back: false,
-            spoke: false,
-            disobeyed: false,
-            offices: 0,
-            stood: false,
-            late: false,
+            touched_voters: 0,
+            discovery_back: false,
+            sent_without_lease: false,
+            stale_applied: false,
+            elections: 0,
+            stepped_down: false,
+            lease_lost: false,
         }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         // Voters that nothing happened to are alike: the next one stands for all.
-        let reachable = |id: u16| id <= self.candidates + state.touched;
+        let is_representative = |id: u16| id <= self.candidates + state.touched_voters;
         if state.ticks < self.ticks {
             actions.push(Action::Tick);
-            if self.fault == Some(Fault::ClockStops) {
+            if self.fault == Some(Fault::StoppedClock) {
                 actions.extend((0..self.candidates).map(Action::TickWithout));
             }
         }
@@ -275,14 +283,14 @@
             if id < self.candidates {
                 actions.push(Action::Wake(id));
             }
-            if state.restarts < self.restarts && reachable(id) {
+            if state.restarts < self.restarts && is_representative(id) {
                 actions.push(Action::Restart(id));
             }
-            if !state.back && node.coordinator.role() == Role::Coordinator {
-                actions.push(Action::Back(id));
+            if !state.discovery_back && node.coordinator.role() == Role::Coordinator {
+                actions.push(Action::DiscoveryBack(id));
             }
         }
-        for envelope in state.net.iter().filter(|envelope| reachable(envelope.to)) {
+        for envelope in state.net.iter().filter(|envelope| is_representative(envelope.to)) {
             actions.push(Action::Deliver(envelope.clone(), true));
             actions.push(Action::Deliver(envelope.clone(), false));
         }
@@ -291,37 +299,37 @@
     fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut state = last.clone();
         if let Action::Restart(to) | Action::Deliver(Envelope { to, .. }, _) = &action {
-            state.touched = state.touched.max((to + 1).saturating_sub(self.candidates));
+            state.touched_voters = state.touched_voters.max((to + 1).saturating_sub(self.candidates));
         }
         match action {
             Action::Tick | Action::TickWithout(_) => {
                 state.ticks += 1;
-                for ((id, node), rate) in (0..).zip(&mut state.nodes).zip(&self.rates) {
+                for ((id, node), tick_length) in (0..).zip(&mut state.nodes).zip(&self.tick_lengths) {
                     if action != Action::TickWithout(id) {
-                        Arc::make_mut(node).clock += rate;
+                        Arc::make_mut(node).clock += tick_length;
                     }
                 }
                 let now = state.ticks;
                 Arc::make_mut(&mut state.net).retain(|envelope| now <= envelope.until);
             }
             Action::Wake(id) => self.step(&mut state, id, Input::Woke, true),
-            Action::Deliver(envelope, at_once) => {
+            Action::Deliver(envelope, reply_at_once) => {
                 let message = postcard::from_bytes(&envelope.message).expect("it decodes");
-                if !asks(&message) {
+                if !is_unsolicited(&message) {
                     Arc::make_mut(&mut state.net).remove(&envelope);
                 }
-                let Envelope { from, life, to, .. } = envelope;
-                let input = Input::Message { from: MemberId(from), incarnation: life, message };
-                self.step(&mut state, to, input, at_once);
+                let Envelope { from, sender_incarnation, to, .. } = envelope;
+                let input = Input::Message { from: MemberId(from), incarnation: sender_incarnation, message };
+                self.step(&mut state, to, input, reply_at_once);
             }
             Action::Restart(id) => {
                 let old = &state.nodes[usize::from(id)];
-                let (life, clock) = (old.life + 1, old.clock);
-                let node = self.node(id, life, clock, &mut Some(&mut state));
+                let (incarnation, clock) = (old.incarnation + 1, old.clock);
+                let node = self.node(id, incarnation, clock, &mut Some(&mut state));
                 state.nodes[usize::from(id)] = Arc::new(node);
             }
-            Action::Back(id) => {
-                state.back = true;
+            Action::DiscoveryBack(id) => {
+                state.discovery_back = true;
                 let input = Input::DiscoveryReach { member: MemberId(id), reach: Reach::Up };
                 self.step(&mut state, id, input, true);
             }
@@ -332,21 +340,23 @@
     fn properties(&self) -> Vec<Property<Self>> {
         let mut properties = vec![
             Property::always("never two acting coordinators", |_, state: &State| {
-                state.nodes.iter().filter(|node| node.coordinator.acting(node.clock)).count() <= 1
+                state.nodes.iter().filter(|node| node.coordinator.is_acting(node.clock)).count() <= 1
             }),
             Property::always("a term has one holder, its own candidate", |_, state: &State| {
                 (0..).zip(&state.nodes).all(|(id, node)| {
                     let term = node.coordinator.term();
-                    let own = term.candidate == MemberId(id) && term.incarnation == node.life;
-                    own || !node.coordinator.acting(node.clock)
+                    let own = term.candidate == MemberId(id) && term.incarnation == node.incarnation;
+                    own || !node.coordinator.is_acting(node.clock)
                 })
             }),
-            Property::always("a word of an older term is never obeyed", |_, state: &State| !state.disobeyed),
-            Property::always("nobody speaks without a lease", |_, state: &State| !state.spoke),
-            Property::sometimes("one is elected", |_, state: &State| state.offices > 0),
-            Property::sometimes("one stands down", |_, state: &State| state.stood),
+            Property::always("a word of an older term is never obeyed", |_, state: &State| {
+                !state.stale_applied
+            }),
+            Property::always("nobody speaks without a lease", |_, state: &State| !state.sent_without_lease),
+            Property::sometimes("one is elected", |_, state: &State| state.elections > 0),
+            Property::sometimes("one stands down", |_, state: &State| state.stepped_down),
         ];
-        if self.servers {
+        if self.with_servers {
             properties.push(Property::sometimes("a word is obeyed", |fleet: &Fleet, state: &State| {
                 let voters = state.nodes.iter().skip(usize::from(fleet.candidates));
                 voters.into_iter().any(|node| !node.coordinator.withdrawn().is_empty())
@@ -358,22 +368,22 @@
 
 /// Two slow candidates, whose leases last longest, and fast voters, whose promises are over soonest.
 fn fleet(members: u16) -> Fleet {
-    let rates = (0..members).map(|id| if id < 2 { 10 } else { 12 }).collect();
+    let tick_lengths = (0..members).map(|id| if id < 2 { 10 } else { 12 }).collect();
     Fleet {
         members,
         candidates: 2,
-        rates,
+        tick_lengths,
         ticks: 3,
         restarts: 0,
-        delay: 9,
-        answers: 0,
-        servers: false,
+        message_delay: 9,
+        reply_delay: 0,
+        with_servers: false,
         fault: None,
     }
 }
 
 /// All states within the bounds, so many steps deep, with every property held.
-fn holds(name: &str, steps: usize, fleet: Fleet) {
+fn check(name: &str, steps: usize, fleet: Fleet) {
     let checker = fleet.checker().threads(3).target_max_depth(steps).spawn_bfs().join();
     println!(
         "{name}: {} states, {} of them different, {} steps deep",
@@ -385,7 +395,7 @@
 }
 
 /// The model finds two acting coordinators.
-fn finds(fleet: Fleet) {
+fn expect_two_coordinators(fleet: Fleet) {
     let (members, fault) = (fleet.members, fleet.fault);
     let checker = fleet.checker().threads(3).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
     let (states, deep) = (checker.unique_state_count(), checker.max_depth());
@@ -395,42 +405,55 @@
 
 #[test]
 fn three_members_without_delay() {
-    holds("three members, all states of one tick", usize::MAX, Fleet { ticks: 1, delay: 0, ..fleet(3) });
-    holds("three members, two ticks", 13, Fleet { ticks: 2, delay: 0, ..fleet(3) });
+    check(
+        "three members, all states of one tick",
+        usize::MAX,
+        Fleet { ticks: 1, message_delay: 0, ..fleet(3) },
+    );
+    check("three members, two ticks", 13, Fleet { ticks: 2, message_delay: 0, ..fleet(3) });
 }
 
 #[test]
 fn three_members_with_late_and_doubled_messages_and_a_restart() {
-    holds("three, late and doubled", 10, Fleet { ticks: 4, delay: 4, answers: 1, restarts: 1, ..fleet(3) });
+    check(
+        "three, late and doubled",
+        10,
+        Fleet { ticks: 4, message_delay: 4, reply_delay: 1, restarts: 1, ..fleet(3) },
+    );
 }
 
 #[test]
 fn three_members_with_words() {
-    holds("three, with words", 10, Fleet { ticks: 3, delay: 3, servers: true, ..fleet(3) });
+    check("three, with words", 10, Fleet { ticks: 3, message_delay: 3, with_servers: true, ..fleet(3) });
 }
 
 #[test]
 fn five_members_with_delay_and_a_restart() {
-    holds("five members", 11, Fleet { ticks: 3, delay: 0, restarts: 1, ..fleet(5) });
+    check("five members", 11, Fleet { ticks: 3, message_delay: 0, restarts: 1, ..fleet(5) });
 }
 
 #[test]
 fn a_model_that_forgets_promises_has_two_coordinators() {
-    finds(Fleet { delay: 0, fault: Some(Fault::Forgets), ..fleet(3) });
-    finds(Fleet { delay: 0, fault: Some(Fault::Forgets), ..fleet(5) });
+    expect_two_coordinators(Fleet { message_delay: 0, fault: Some(Fault::ForgottenPromise), ..fleet(3) });
+    expect_two_coordinators(Fleet { message_delay: 0, fault: Some(Fault::ForgottenPromise), ..fleet(5) });
 }
 
 #[test]
 fn a_model_without_quarantine_has_two_coordinators() {
-    finds(Fleet { delay: 0, restarts: 1, fault: Some(Fault::NoQuarantine), ..fleet(3) });
+    expect_two_coordinators(Fleet {
+        message_delay: 0,
+        restarts: 1,
+        fault: Some(Fault::NoQuarantine),
+        ..fleet(3)
+    });
 }
 
 #[test]
 fn a_model_that_leaves_drift_out_has_two_coordinators() {
-    finds(Fleet { delay: 0, fault: Some(Fault::Drift), ..fleet(3) });
+    expect_two_coordinators(Fleet { message_delay: 0, fault: Some(Fault::ExcessDrift), ..fleet(3) });
 }
 
 #[test]
 fn a_model_with_clocks_that_stop_has_two_coordinators() {
-    finds(Fleet { delay: 0, fault: Some(Fault::ClockStops), ..fleet(3) });
+    expect_two_coordinators(Fleet { message_delay: 0, fault: Some(Fault::StoppedClock), ..fleet(3) });
 }
