--- a/crates/peers/src/coordinator/election.rs
+++ b/crates/peers/src/coordinator/election.rs
@@ -89,7 +89,7 @@
 
     /// Whether the coordinator should step down: it reaches discovery itself, or there is no longer a
     /// majority that reports discovery as unreachable. Members that merely fell silent are not a reason to
-    /// step down, because without their renewals the lease expires anyway.
+    /// step down: if they stop renewing their promises, the lease expires anyway.
     pub(super) fn no_longer_needed(&self, now: Millis) -> bool {
         self.own_reach() == Some(Reach::Up)
             || (self.count_up() > 0 && self.count_down(now, 0) < self.params.majority)
@@ -154,6 +154,7 @@
         }
     }
 
+    /// Becomes a candidate in a new term, votes for itself and requests the votes of the other members.
     fn start_candidacy(&mut self, now: Millis, actions: &mut Vec<Output>) {
         self.candidacy_at = None;
         let Some(number) = self.highest_term.number.max(self.number_floor).checked_add(1) else { return };
@@ -218,7 +219,7 @@
         if self.quarantined(now) || u64::from(duration) > self.params.lease {
             return;
         }
-        // A member does not vote if it knows that so many members reach discovery that no majority lacks it.
+        // A member does not vote if too many members reach discovery for a majority to lack it.
         if self.count_up() > self.params.region_members.len() - self.params.majority {
             return;
         }
--- a/crates/peers/src/coordinator/leadership.rs
+++ b/crates/peers/src/coordinator/leadership.rs
@@ -80,6 +80,7 @@
         (self.params.lease / times).max(1)
     }
 
+    /// Starts the leadership of a candidate that a majority voted for.
     pub(super) fn become_coordinator(
         &mut self,
         now: Millis,
@@ -237,6 +238,7 @@
         }
     }
 
+    /// Issues a directive and applies it at this member too.
     fn issue_directive(&mut self, now: Millis, server: ServerKey, standing: Standing) {
         let Some(leadership) = &mut self.leadership else { return };
         let after = leadership.directives.last_number();
@@ -246,6 +248,7 @@
         self.evidence.clear_inherited(server);
     }
 
+    /// Evaluates every server that has evidence or is withdrawn.
     fn evaluate_all(&mut self, now: Millis) {
         let mut servers = self.evidence.servers();
         if let Some(leadership) = &self.leadership {
@@ -301,6 +304,7 @@
         }
     }
 
+    /// Ends the leadership and all withdrawals, and begins to announce this to the other members.
     fn step_down(&mut self, now: Millis, actions: &mut Vec<Output>) {
         let Some(leadership) = self.leadership.take() else { return };
         let why = match self.own_reach() {
