--- a/crates/peers/src/coordinator/evidence.rs
+++ b/crates/peers/src/coordinator/evidence.rs
@@ -1,16 +1,17 @@
-//! What members saw of servers, whatever the list says.
+//! Evidence: what the members of the region observed of servers, independent of the list.
 
 use std::collections::BTreeMap;
 
 use crate::api::{MemberId, Millis, ServerKey, Standing};
 
-/// A withdrawal takes the word of so many members: one may be cut off, slow or broken.
-pub(super) const WITNESSES: usize = 2;
+/// A withdrawal requires reports of this many members, because a single member may be cut off, slow or
+/// faulty.
+pub(super) const MIN_REPORTERS: usize = 2;
 
-/// Of so many servers evidence is kept at most.
-const SERVERS: usize = 4_096;
+/// Evidence is kept for at most this many servers.
+const MAX_SERVERS: usize = 4_096;
 
-/// How far a server is from taking new work.
+/// Ranks states by how much they restrict new requests to the server.
 pub(super) fn severity(standing: Standing) -> u8 {
     match standing {
         Standing::Serving => 0,
@@ -19,105 +20,120 @@
     }
 }
 
-/// What is known of one server.
+/// The evidence about one server.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
-struct Case {
-    /// What each member saw.
-    seen: BTreeMap<MemberId, Standing>,
-    /// Who was told of a withdrawal by a former coordinator, and how.
-    carried: BTreeMap<MemberId, Standing>,
-    /// When the first of those said so.
-    since: Millis,
+struct ServerEvidence {
+    /// The state that each member observed.
+    observed: BTreeMap<MemberId, Standing>,
+    /// Members that still apply a withdrawal by an earlier coordinator, and the withdrawn state.
+    inherited: BTreeMap<MemberId, Standing>,
+    /// When the first of those members reported the withdrawal.
+    inherited_since: Millis,
 }
 
-/// All that members of the region saw.
+/// The evidence of all members of the region, by server.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 pub(super) struct Evidence {
-    cases: BTreeMap<ServerKey, Case>,
+    servers: BTreeMap<ServerKey, ServerEvidence>,
 }
 
 impl Evidence {
-    fn case(&mut self, server: ServerKey) -> Option<&mut Case> {
-        if self.cases.len() >= SERVERS && !self.cases.contains_key(&server) {
+    fn entry(&mut self, server: ServerKey) -> Option<&mut ServerEvidence> {
+        if self.servers.len() >= MAX_SERVERS && !self.servers.contains_key(&server) {
             return None;
         }
-        Some(self.cases.entry(server).or_default())
+        Some(self.servers.entry(server).or_default())
     }
 
-    /// What a member saw now, or that it says nothing of a server any more.
-    pub fn saw(&mut self, by: MemberId, server: ServerKey, standing: Option<Standing>) {
+    /// Records the state that a member observed, or removes its report if there is no state.
+    pub fn observe(&mut self, reporter: MemberId, server: ServerKey, standing: Option<Standing>) {
         match standing {
             Some(standing) => {
-                if let Some(case) = self.case(server) {
-                    case.seen.insert(by, standing);
+                if let Some(entry) = self.entry(server) {
+                    entry.observed.insert(reporter, standing);
                 }
             }
             None => {
-                if let Some(case) = self.cases.get_mut(&server) {
-                    case.seen.remove(&by);
-                    if case.seen.is_empty() && case.carried.is_empty() {
-                        self.cases.remove(&server);
+                if let Some(entry) = self.servers.get_mut(&server) {
+                    entry.observed.remove(&reporter);
+                    if entry.observed.is_empty() && entry.inherited.is_empty() {
+                        self.servers.remove(&server);
                     }
                 }
             }
         }
     }
 
-    /// A member holds a withdrawal by a former coordinator that the present one has said nothing of.
-    pub fn carries(&mut self, now: Millis, by: MemberId, server: ServerKey, standing: Standing) {
-        if let Some(case) = self.case(server) {
-            if case.carried.is_empty() {
-                case.since = now;
+    /// Records that a member applies a withdrawal by an earlier coordinator that the current one has not
+    /// replaced.
+    pub fn observe_inherited(
+        &mut self,
+        now: Millis,
+        reporter: MemberId,
+        server: ServerKey,
+        standing: Standing,
+    ) {
+        if let Some(entry) = self.entry(server) {
+            if entry.inherited.is_empty() {
+                entry.inherited_since = now;
             }
-            case.carried.insert(by, standing);
+            entry.inherited.insert(reporter, standing);
         }
     }
 
-    /// What was carried is settled: the coordinator has said its own word.
-    pub fn settled(&mut self, server: ServerKey) {
-        if let Some(case) = self.cases.get_mut(&server) {
-            case.carried.clear();
-            if case.seen.is_empty() {
-                self.cases.remove(&server);
+    /// Drops the inherited withdrawals of a server, because the coordinator issued a directive of its own.
+    pub fn clear_inherited(&mut self, server: ServerKey) {
+        if let Some(entry) = self.servers.get_mut(&server) {
+            entry.inherited.clear();
+            if entry.observed.is_empty() {
+                self.servers.remove(&server);
             }
         }
     }
 
-    /// The list has a newer entry: what was seen was another run of the server.
+    /// Drops all evidence about a server, because the list has a newer entry. The evidence was about an
+    /// earlier run of the server.
     pub fn forget(&mut self, server: ServerKey) {
-        self.cases.remove(&server);
+        self.servers.remove(&server);
     }
 
-    /// The worst that enough members saw, or say together with those who carry a withdrawal.
-    pub fn withdrawn(&self, server: ServerKey, carriers: bool) -> Option<Standing> {
-        let case = self.cases.get(&server)?;
-        let mut said = case.seen.clone();
-        if carriers {
-            for (by, standing) in &case.carried {
-                said.entry(*by).or_insert(*standing);
+    /// The worst state that enough members report. With `include_inherited`, a member that reports nothing
+    /// itself but still applies an inherited withdrawal counts as reporting its state.
+    pub fn withdrawal(&self, server: ServerKey, include_inherited: bool) -> Option<Standing> {
+        let entry = self.servers.get(&server)?;
+        let mut reports = entry.observed.clone();
+        if include_inherited {
+            for (reporter, standing) in &entry.inherited {
+                reports.entry(*reporter).or_insert(*standing);
             }
         }
         [Standing::Gone, Standing::Draining].into_iter().find(|standing| {
-            let so = said.values().filter(|said| severity(**said) >= severity(*standing)).count();
-            so >= WITNESSES
+            let reporters =
+                reports.values().filter(|reported| severity(**reported) >= severity(*standing)).count();
+            reporters >= MIN_REPORTERS
         })
     }
 
-    /// Whether enough members saw it serve again.
-    pub fn serves(&self, server: ServerKey) -> bool {
-        self.cases.get(&server).is_some_and(|case| {
-            case.seen.values().filter(|standing| **standing == Standing::Serving).count() >= WITNESSES
+    /// Whether enough members have seen the server serving again.
+    pub fn seen_serving(&self, server: ServerKey) -> bool {
+        self.servers.get(&server).is_some_and(|entry| {
+            entry.observed.values().filter(|standing| **standing == Standing::Serving).count()
+                >= MIN_REPORTERS
         })
     }
 
-    /// Since when somebody carries a withdrawal that is not settled.
-    pub fn carried_since(&self, server: ServerKey) -> Option<Millis> {
-        self.cases.get(&server).filter(|case| !case.carried.is_empty()).map(|case| case.since)
+    /// Since when at least one member has reported an inherited withdrawal that the current coordinator has
+    /// not replaced.
+    pub fn inherited_since(&self, server: ServerKey) -> Option<Millis> {
+        self.servers
+            .get(&server)
+            .filter(|entry| !entry.inherited.is_empty())
+            .map(|entry| entry.inherited_since)
     }
 
-    /// All servers of which something is known.
+    /// All servers with evidence.
     pub fn servers(&self) -> Vec<ServerKey> {
-        self.cases.keys().copied().collect()
+        self.servers.keys().copied().collect()
     }
 }
 
@@ -126,10 +142,11 @@
     use super::*;
 
     #[test]
-    fn it_takes_two_members_and_the_milder_of_two_words() {
+    fn a_withdrawal_takes_two_members_and_the_milder_of_two_reports() {
         use Standing::{Draining, Gone, Serving};
         let server = ServerKey(1);
-        // What members 0, 1 and 2 saw, and what follows.
+        // The states that members 0, 1 and 2 observed, the resulting withdrawal, and whether the server
+        // counts as serving.
         let table = [
             (&[Some(Gone), None, None][..], None, false),
             (&[Some(Gone), Some(Draining), None], Some(Draining), false),
@@ -139,29 +156,29 @@
         ];
         for (seen, withdrawn, serves) in table {
             let mut evidence = Evidence::default();
-            for (by, standing) in (0..).map(MemberId).zip(seen) {
-                // Said twice by one member is said once.
-                evidence.saw(by, server, *standing);
-                evidence.saw(by, server, *standing);
+            for (reporter, standing) in (0..).map(MemberId).zip(seen) {
+                // A repeated report by the same member counts once.
+                evidence.observe(reporter, server, *standing);
+                evidence.observe(reporter, server, *standing);
             }
-            assert_eq!(evidence.withdrawn(server, false), withdrawn, "{seen:?}");
-            assert_eq!(evidence.serves(server), serves, "{seen:?}");
+            assert_eq!(evidence.withdrawal(server, false), withdrawn, "{seen:?}");
+            assert_eq!(evidence.seen_serving(server), serves, "{seen:?}");
         }
     }
 
     #[test]
-    fn who_carries_a_withdrawal_counts_beside_who_saw_it_until_that_is_settled() {
+    fn members_with_an_inherited_withdrawal_count_until_a_directive_replaces_it() {
         let (server, mut evidence) = (ServerKey(1), Evidence::default());
-        evidence.carries(5, MemberId(0), server, Standing::Gone);
-        evidence.saw(MemberId(0), server, Some(Standing::Gone));
-        assert_eq!(evidence.withdrawn(server, true), None, "both by one member");
-        evidence.carries(9, MemberId(1), server, Standing::Draining);
-        assert_eq!(evidence.withdrawn(server, true), Some(Standing::Draining));
-        assert_eq!(evidence.withdrawn(server, false), None);
-        assert_eq!(evidence.carried_since(server), Some(5));
-        evidence.settled(server);
-        assert_eq!(evidence.withdrawn(server, true), None);
-        evidence.saw(MemberId(0), server, None);
+        evidence.observe_inherited(5, MemberId(0), server, Standing::Gone);
+        evidence.observe(MemberId(0), server, Some(Standing::Gone));
+        assert_eq!(evidence.withdrawal(server, true), None, "both by one member");
+        evidence.observe_inherited(9, MemberId(1), server, Standing::Draining);
+        assert_eq!(evidence.withdrawal(server, true), Some(Standing::Draining));
+        assert_eq!(evidence.withdrawal(server, false), None);
+        assert_eq!(evidence.inherited_since(server), Some(5));
+        evidence.clear_inherited(server);
+        assert_eq!(evidence.withdrawal(server, true), None);
+        evidence.observe(MemberId(0), server, None);
         assert_eq!(evidence, Evidence::default(), "nothing is kept");
     }
 }
--- a/crates/peers/src/coordinator/mod.rs
+++ b/crates/peers/src/coordinator/mod.rs
@@ -1,150 +1,168 @@
-//! One who speaks for a region while discovery is out of reach for it.
+//! Elects one member as the region's coordinator while the region cannot reach discovery.
 //!
-//! **When.** A majority of the region's *configured* members must say, each for
-//! [`Timing::outage`](crate::api::Timing), that discovery is out of reach. Then one is elected by the votes of a
-//! majority of the configured members. Without one there is no coordinator and all is as without peers. It stands
-//! down as soon as it has discovery itself or no majority lacks it any more, says so to all, and the need must then
-//! be seen anew for an outage before the next is elected: so that where some reach discovery and others do not,
-//! coordinators do not follow each other in haste.
+//! **When a coordinator is elected.** A majority of the region's *configured* members must have reported
+//! discovery as unreachable, each for at least [`Timing::outage`](crate::api::Timing). One member is then
+//! elected by the votes of a majority of the configured members. If no majority votes for a member, the
+//! region has no coordinator and every member works as it would without peers. The coordinator steps down as
+//! soon as it reaches discovery itself, or as soon as a majority of the members no longer reports discovery
+//! as unreachable. It announces this to all members. After that, the outage must last for `Timing::outage`
+//! again before the next election. This keeps coordinators from replacing each other in quick succession
+//! where some members reach discovery and others do not.
 //!
-//! **Never two.** A voter promises to follow nobody else for a time by its own clock. The candidate counts on that
-//! from when it sent its call, for that time less the drift of both clocks: `usable = lasts (1 - d) / (1 + d)`. It
-//! acts while a majority's promises can be counted on, and looks at its clock before anything else, so that a
-//! process that slept past its lease wakes as none. Two majorities share a member, and that one promises to one run
-//! at a time. Nothing is kept on disk: a new process neither votes nor stands for `lease (1 + d) / (1 - d) +
-//! election`, when all that its former self promised has run out. So the proof needs a clock that does not stand
-//! still while the process is stopped.
+//! **At most one coordinator.** A voter promises, for a duration measured by its own clock, not to follow any
+//! other candidate. The candidate counts on this promise from the time at which it sent its vote request, for
+//! that duration reduced by the drift of both clocks: `usable = duration (1 - d) / (1 + d)`. A coordinator
+//! acts only while it can count on the promises of a majority. It checks its clock before it does anything
+//! else, so that a process that was suspended past the end of its lease is no longer coordinator when it
+//! resumes. Any two majorities share a member, and a member is bound by its promise to one run of one
+//! candidate at a time. Promises are not stored on disk. Instead, a new process neither votes nor becomes a
+//! candidate for `lease (1 + d) / (1 - d) + election`: by then every promise of the previous process has
+//! expired. This argument requires a clock that keeps running while the process is stopped.
 //!
-//! **Old terms.** A term is a number, its candidate and which run of it. Members obey the highest that they know;
-//! words and renewals of lower ones are refused, counted and answered with what is known, whereupon a holder whose
-//! lease still goes takes a higher number, for promises are to a run and not to a number. A fleet that was
-//! restarted whole counts from one again. What is still under way from before cannot be obeyed then: each word
-//! names the incarnation that it is sent to, a sender learns that only from a message of that very run, and
-//! messages of former runs are dropped once the new one was heard.
+//! **Old terms.** A term consists of a number, the candidate, and the incarnation of the candidate's process.
+//! Members follow the highest term that they know. They reject and count directives and renewals of lower
+//! terms, and reply with the highest term. A coordinator that receives such a reply while its lease is valid
+//! raises its term number. It needs no new votes, because a promise is made to a run of the candidate and not
+//! to a term number. Numbers start at one again when all members restart. A directive that was in flight
+//! during such a restart cannot be applied afterwards. Each directive message names the incarnation that it
+//! is addressed to, and a sender learns that incarnation only from a message of the same run. Messages of
+//! earlier runs are dropped once a message of the new run has been received.
 //!
-//! **Small regions.** With one configured member the majority is itself: it asks discovery often, and withdraws
-//! nothing, for evidence takes two. With two both must agree on everything: when either is gone there is no
-//! coordinator.
+//! **Small regions.** In a region with one configured member, that member is the majority. It polls discovery
+//! often, and withdraws nothing, because a withdrawal requires evidence from two members. In a region with
+//! two members, both must agree on everything. If either is gone, there is no coordinator.
 //!
-//! **Withdrawals.** By the evidence of two members of the region, and never more than leave half of the list's
-//! servers. Whoever withdrew gives back: when two members saw the server serve again, when its entry in the list
-//! changed, or some leases later when no two say so any more. A successor says again under its own term what former
-//! ones withdrew, as far as it or two others know, before it may give it back. They end at once with discovery's
-//! own list at a member, and with the coordinator's word that discovery is back. A member that hears no coordinator
-//! for [`LAPSE`] leases goes by its list again.
+//! **Withdrawals.** The coordinator withdraws a server on the evidence of two members of the region, and
+//! always leaves at least half of the listed servers in service. The coordinator that withdrew a server also
+//! restores it: when two members have seen the server serving again, when its entry in the list changes, or
+//! some leases later if there are no longer two members that report it as unavailable. A new coordinator
+//! first repeats under its own term the withdrawals of its predecessors, as far as it or two other members
+//! know them. Only then may it restore those servers. A withdrawal ends immediately at a member that receives
+//! a list from discovery itself, and at a member that learns from the coordinator that discovery is back. A
+//! member that has not heard from a coordinator for [`WITHDRAWAL_TTL_LEASES`] leases uses its list unchanged
+//! again.
 //!
-//! Traffic: a coordinator sends each other member of its region two to four renewals a lease, and each answers; a
-//! call for votes goes to each once in `election`.
+//! **Traffic.** A coordinator sends each other member of its region two to four renewals per lease, and each
+//! member acknowledges them. A candidate sends each member at most one vote request per election timeout.
 
 mod api;
+mod directives;
 mod election;
 mod evidence;
-mod follow;
-mod office;
+mod follower;
+mod leadership;
 mod term;
-mod words;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 pub use api::{Input, Output, Role};
-pub use term::{CARRIED, Message, Term, WORDS, Word};
+pub use term::{Directive, MAX_DIRECTIVES, MAX_INHERITED, Message, Term};
 
 use crate::api::{Asking, Config, MemberId, Millis, Reach, ServerKey, Standing};
 use crate::lists::{Changed, Lists, Pace};
+use directives::AppliedDirectives;
 use election::{Candidacy, Promise};
 use evidence::Evidence;
-use office::{Leaving, Office};
-use words::Obeyed;
+use leadership::{Leadership, Resignation};
 
-/// After so many leases without a coordinator's word its withdrawals are obeyed no more.
-pub const LAPSE: u64 = 30;
+/// A member stops applying withdrawals after this many leases without a message from a coordinator.
+pub const WITHDRAWAL_TTL_LEASES: u64 = 30;
 
-/// What follows from the configuration. Times in milliseconds.
+/// Parameters derived from the configuration. Times are in milliseconds.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Setup {
+struct Params {
     me: MemberId,
     incarnation: u64,
     seed: u64,
-    /// The configured members of the region, this one included.
-    region: Vec<MemberId>,
+    /// The configured members of the region, including this member.
+    region_members: Vec<MemberId>,
     majority: usize,
-    /// The longest promise.
+    /// The lease, which is also the longest promise that this member makes.
     lease: Millis,
-    /// The promise that goes with a vote: short, so that a split vote does not bind for a whole lease.
-    vote: Millis,
-    election: Millis,
-    outage: Millis,
-    /// Until when this process is too new to vote.
-    quarantine: Millis,
-    /// By how many parts in a million two clocks may differ in speed.
-    drift: u64,
+    /// The duration of the promise made with a vote. It is short so that after a split vote the voters are
+    /// not bound for a full lease.
+    vote_duration: Millis,
+    election_timeout: Millis,
+    outage_threshold: Millis,
+    /// This process does not vote before this time, because the previous process of this member may have made
+    /// promises that are still valid.
+    quarantine_until: Millis,
+    /// The largest difference in speed between two clocks, in parts per million.
+    drift_ppm: u64,
 }
 
-/// A million parts.
-const WHOLE: u64 = 1_000_000;
+/// One million: the denominator of a value in parts per million.
+const PPM: u64 = 1_000_000;
 
-impl Setup {
-    /// For how long a promise can be counted on, by the clock of whom it was made to.
-    fn usable(&self, lasts: Millis) -> Millis {
-        lasts.saturating_mul(WHOLE - self.drift) / (WHOLE + self.drift)
+impl Params {
+    /// How long a candidate can count on a promise of this duration, by the candidate's own clock.
+    fn usable_lease(&self, duration: Millis) -> Millis {
+        duration.saturating_mul(PPM - self.drift_ppm) / (PPM + self.drift_ppm)
     }
 
-    fn others(&self) -> impl Iterator<Item = MemberId> + use<> {
+    fn other_members(&self) -> impl Iterator<Item = MemberId> + use<> {
         let me = self.me;
-        self.region.clone().into_iter().filter(move |member| *member != me)
+        self.region_members.clone().into_iter().filter(move |member| *member != me)
     }
 }
 
-/// A member's part in its region's coordination. The same inputs give the same outputs.
+/// The election and directive state of one member. It is deterministic: the same inputs give the same
+/// outputs.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Coordinator {
-    setup: Arc<Setup>,
-    /// The highest term that it knows of.
-    known: Term,
-    /// The highest number that it was refused for.
-    floor: u64,
+    params: Arc<Params>,
+    /// The highest term that this member knows.
+    highest_term: Term,
+    /// The highest term number that this member learnt from a rejection or a late message. Its own next term
+    /// takes a higher number.
+    number_floor: u64,
     promise: Option<Promise>,
-    /// Which run of each member was heard last.
-    lives: BTreeMap<MemberId, u64>,
-    /// How each sees discovery, and since when that is known here.
-    reaches: BTreeMap<MemberId, (Reach, Millis)>,
-    gone: BTreeSet<MemberId>,
-    stand_at: Option<Millis>,
-    attempts: u64,
+    /// The incarnation in the last accepted message of each member.
+    incarnations: BTreeMap<MemberId, u64>,
+    /// Whether each member reaches discovery, and when this member learnt it.
+    discovery_reach: BTreeMap<MemberId, (Reach, Millis)>,
+    dead_members: BTreeSet<MemberId>,
+    /// When this member becomes a candidate, unless the need for a coordinator ends before.
+    candidacy_at: Option<Millis>,
+    /// Counts the random numbers that were drawn to delay a candidacy.
+    election_attempts: u64,
     candidacy: Option<Candidacy>,
-    office: Option<Office>,
-    leaving: Option<Leaving>,
-    /// The coordinator that is heard, and until when that counts.
-    heard: Option<(Term, Millis)>,
-    obeyed: Obeyed,
+    leadership: Option<Leadership>,
+    resignation: Option<Resignation>,
+    /// The term of the coordinator that this member follows, and until when it follows without a further
+    /// message.
+    following: Option<(Term, Millis)>,
+    applied: AppliedDirectives,
     evidence: Evidence,
-    /// What this member's process was told to be withdrawn.
-    in_force: BTreeMap<ServerKey, Standing>,
-    asked: Asking,
-    wake: Option<Millis>,
-    refused: Figure,
+    /// The withdrawals that were last reported to this member's process.
+    reported_withdrawals: BTreeMap<ServerKey, Standing>,
+    /// How this member's process was last told to poll discovery.
+    polling: Asking,
+    next_wake: Option<Millis>,
+    stale_rejected: Counter,
     lists: Lists,
 }
 
-/// A count for the operators, which decides nothing: states that differ in it alone are one.
+/// A counter for operators that influences no decision. All values compare as equal, so that states that
+/// differ only in a counter are equal.
 #[derive(Debug, Clone, Copy)]
-struct Figure(u64);
+struct Counter(u64);
 
-impl PartialEq for Figure {
-    fn eq(&self, _: &Figure) -> bool {
+impl PartialEq for Counter {
+    fn eq(&self, _: &Counter) -> bool {
         true
     }
 }
 
-impl Eq for Figure {}
+impl Eq for Counter {}
 
-impl std::hash::Hash for Figure {
+impl std::hash::Hash for Counter {
     fn hash<H: std::hash::Hasher>(&self, _: &mut H) {}
 }
 
-/// The `n`th number that follows from a seed (splitmix64, Steele et al. 2014).
-pub(crate) fn draw(seed: u64, n: u64) -> u64 {
+/// The `n`th number of the sequence that splitmix64 (Steele et al. 2014) generates from a seed.
+pub(crate) fn splitmix64(seed: u64, n: u64) -> u64 {
     let mut z = seed.wrapping_add(n.wrapping_mul(0x9e37_79b9_7f4a_7c15));
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -152,31 +170,32 @@
 }
 
 impl Coordinator {
-    /// A member's part, from the start of its process. `incarnation` is higher at each start.
+    /// Creates the state for a process that starts now. Each start of the process must use a higher
+    /// `incarnation`.
     pub fn new(config: Arc<Config>, now: Millis, incarnation: u64, seed: u64) -> Coordinator {
         let me = config.me;
-        let home = config.members.get(usize::from(me.0)).map(|member| member.region);
-        let region: Vec<MemberId> = (0..=u16::MAX)
+        let own_region = config.members.get(usize::from(me.0)).map(|member| member.region);
+        let region_members: Vec<MemberId> = (0..=u16::MAX)
             .zip(&config.members)
-            .filter(|(_, member)| Some(member.region) == home)
+            .filter(|(_, member)| Some(member.region) == own_region)
             .map(|(id, _)| MemberId(id))
             .collect();
         let timing = &config.timing;
-        // The cast saturates, and a share that is no number is none.
-        let drift = ((timing.drift * WHOLE as f64).ceil() as u64).min(WHOLE - 1);
-        let longest = timing.lease.saturating_mul(WHOLE + drift).div_ceil(WHOLE - drift);
-        let setup = Setup {
+        // The cast saturates, and turns NaN into zero.
+        let drift_ppm = ((timing.drift * PPM as f64).ceil() as u64).min(PPM - 1);
+        let longest_promise = timing.lease.saturating_mul(PPM + drift_ppm).div_ceil(PPM - drift_ppm);
+        let params = Params {
             me,
             incarnation,
             seed,
-            majority: region.len() / 2 + 1,
-            region,
+            majority: region_members.len() / 2 + 1,
+            region_members,
             lease: timing.lease,
-            vote: timing.lease.min(4 * timing.election).max(1),
-            election: timing.election.max(1),
-            outage: timing.outage,
-            quarantine: now.saturating_add(longest).saturating_add(timing.election),
-            drift,
+            vote_duration: timing.lease.min(4 * timing.election).max(1),
+            election_timeout: timing.election.max(1),
+            outage_threshold: timing.outage,
+            quarantine_until: now.saturating_add(longest_promise).saturating_add(timing.election),
+            drift_ppm,
         };
         let pace = Pace {
             me,
@@ -186,207 +205,215 @@
             seed,
         };
         Coordinator {
-            setup: Arc::new(setup),
-            known: Term::NONE,
-            floor: 0,
+            params: Arc::new(params),
+            highest_term: Term::NONE,
+            number_floor: 0,
             promise: None,
-            lives: BTreeMap::new(),
-            reaches: BTreeMap::new(),
-            gone: BTreeSet::new(),
-            stand_at: None,
-            attempts: 0,
+            incarnations: BTreeMap::new(),
+            discovery_reach: BTreeMap::new(),
+            dead_members: BTreeSet::new(),
+            candidacy_at: None,
+            election_attempts: 0,
             candidacy: None,
-            office: None,
-            leaving: None,
-            heard: None,
-            obeyed: Obeyed::new(),
+            leadership: None,
+            resignation: None,
+            following: None,
+            applied: AppliedDirectives::new(),
             evidence: Evidence::default(),
-            in_force: BTreeMap::new(),
-            asked: Asking::Usual,
-            wake: None,
-            refused: Figure(0),
+            reported_withdrawals: BTreeMap::new(),
+            polling: Asking::Usual,
+            next_wake: None,
+            stale_rejected: Counter(0),
             lists: Lists::new(pace, now),
         }
     }
 
-    /// Takes in what happened at `now`, by this member's clock, and appends what should be done.
-    pub fn handle(&mut self, now: Millis, input: Input, out: &mut Vec<Output>) {
-        self.check_lease(now, out);
+    /// Processes an input at time `now` of this member's clock, and appends the resulting actions.
+    pub fn handle(&mut self, now: Millis, input: Input, actions: &mut Vec<Output>) {
+        self.drop_expired_lease(now, actions);
         let mut changed = Changed::new();
         match input {
-            // Whoever keeps one timer only has none now.
-            Input::Woke => self.wake = None,
+            // A caller that keeps only one timer has none left now, so the next one must be requested again.
+            Input::Woke => self.next_wake = None,
             Input::Message { from, incarnation, message } => {
-                self.message(now, from, incarnation, message, &mut changed, out);
+                self.on_message(now, from, incarnation, message, &mut changed, actions);
             }
-            Input::Reach { member, reach } => self.reach(now, member, reach),
-            Input::Alive { member, alive } => {
+            Input::DiscoveryReach { member, reach } => self.set_reach(now, member, reach),
+            Input::Liveness { member, alive } => {
                 if alive {
-                    self.gone.remove(&member);
-                } else if member != self.setup.me {
-                    self.gone.insert(member);
+                    self.dead_members.remove(&member);
+                } else if member != self.params.me {
+                    self.dead_members.insert(member);
                     self.lists.gone(member);
                 }
             }
-            Input::Listed { version, whole, entries } => {
-                self.reach(now, self.setup.me, Reach::Up);
-                self.lists.listed(version, whole, &entries, &mut changed, out);
+            Input::ListUpdate { version, complete, entries } => {
+                self.set_reach(now, self.params.me, Reach::Up);
+                self.lists.listed(version, complete, &entries, &mut changed, actions);
                 for server in changed.drain(..) {
                     self.evidence.forget(server);
                 }
             }
-            Input::Evidence { by, server, standing } => {
-                if self.setup.region.contains(&by) {
-                    self.evidence.saw(by, server, standing);
-                    self.judge(now, server);
+            Input::Evidence { reporter, server, standing } => {
+                if self.params.region_members.contains(&reporter) {
+                    self.evidence.observe(reporter, server, standing);
+                    self.evaluate(now, server);
                 }
             }
-            Input::List { by, body } => self.lists.fact(by, &body),
+            Input::ListFact { member, body } => self.lists.fact(member, &body),
         }
         for server in &changed {
-            self.relisted(now, *server);
+            self.on_entry_updated(now, *server);
         }
-        self.elect(now, out);
-        self.keep_office(now, out);
-        self.speak(now, out);
-        self.keep_leaving(now, out);
-        self.lapse(now, out);
+        self.run_election(now, actions);
+        self.maintain_leadership(now, actions);
+        self.send_directives(now, actions);
+        self.announce_resignation(now, actions);
+        self.expire(now, actions);
         let down = |(member, (reach, _)): (&MemberId, &(Reach, Millis))| {
-            *reach == Reach::Down && !self.gone.contains(member)
+            *reach == Reach::Down && !self.dead_members.contains(member)
         };
-        let trouble = self.reaches.iter().any(down);
-        self.lists.tick(now, trouble, out);
-        self.settle(&changed, out);
-        self.ask(now, out);
-        self.wake(now, out);
+        let discovery_down = self.discovery_reach.iter().any(down);
+        self.lists.tick(now, discovery_down, actions);
+        self.report_changes(&changed, actions);
+        self.update_polling(now, actions);
+        self.schedule_wake(now, actions);
     }
 
-    /// What this member is, as of the last call.
+    /// The role of this member as of the last call.
     pub fn role(&self) -> Role {
-        match (&self.office, &self.candidacy, &self.heard) {
-            (Some(_), ..) => Role::Coordinates,
-            (_, Some(_), _) => Role::Stands,
-            (_, _, Some(_)) => Role::Follows,
-            _ => Role::Alone,
+        match (&self.leadership, &self.candidacy, &self.following) {
+            (Some(_), ..) => Role::Coordinator,
+            (_, Some(_), _) => Role::Candidate,
+            (_, _, Some(_)) => Role::Follower,
+            _ => Role::Unattached,
         }
     }
 
-    /// The highest term it knows of.
+    /// The highest term that this member knows.
     pub fn term(&self) -> Term {
-        self.known
+        self.highest_term
     }
 
-    /// The term whose words it obeys, and up to which number it has heard them.
-    pub fn obeys(&self) -> (Term, u32) {
-        (self.obeyed.term, self.obeyed.through)
+    /// The term whose directives this member applies, and the number up to which it has received all of them.
+    pub fn applied_through(&self) -> (Term, u32) {
+        (self.applied.term, self.applied.through)
     }
 
-    /// What is withdrawn by coordinators' words, as far as this member has heard.
+    /// The withdrawals by coordinators that this member has received and that still apply.
     pub fn withdrawn(&self) -> Vec<(ServerKey, Standing)> {
-        self.obeyed.all().collect()
+        self.applied.withdrawals().collect()
     }
 
-    /// How many words and renewals of older terms it refused.
-    pub fn refused(&self) -> u64 {
-        self.refused.0
+    /// The number of directive messages and renewals that were rejected because they belong to an older term
+    /// or are addressed to an earlier run of this member.
+    pub fn stale_rejected(&self) -> u64 {
+        self.stale_rejected.0
     }
 
-    /// The list.
+    /// This member's copy of discovery's server list.
     pub fn lists(&self) -> &Lists {
         &self.lists
     }
 
-    fn message(
+    fn on_message(
         &mut self,
         now: Millis,
         from: MemberId,
         incarnation: u64,
         message: Message,
         changed: &mut Changed,
-        out: &mut Vec<Output>,
+        actions: &mut Vec<Output>,
     ) {
-        if from == self.setup.me {
+        if from == self.params.me {
             return;
         }
         if let Message::List(message) = message {
-            self.lists.message(now, from, message, changed, out);
+            self.lists.message(now, from, message, changed, actions);
             return;
         }
-        if !self.setup.region.contains(&from) {
+        if !self.params.region_members.contains(&from) {
             return;
         }
-        match self.lives.get(&from) {
-            Some(life) if incarnation < *life => return,
-            Some(life) if incarnation == *life => {}
+        match self.incarnations.get(&from) {
+            Some(latest) if incarnation < *latest => return,
+            Some(latest) if incarnation == *latest => {}
             _ => {
-                self.lives.insert(from, incarnation);
-                self.reborn(from);
+                self.incarnations.insert(from, incarnation);
+                self.on_member_restarted(from);
             }
         }
-        // Nobody speaks for another's term.
-        let speaks = |term: &Term| term.candidate == from && term.incarnation == incarnation;
+        // Accepts such messages only from the term's own candidate, in the run that the term belongs to.
+        let is_senders_term = |term: &Term| term.candidate == from && term.incarnation == incarnation;
         match message {
-            Message::Call { term, at, lasts } if speaks(&term) && self.plausible(&term) => {
-                self.called(now, term, at, lasts, out);
+            Message::RequestVote { term, sent_at, duration }
+                if is_senders_term(&term) && self.is_plausible(&term) =>
+            {
+                self.on_vote_request(now, term, sent_at, duration, actions);
+            }
+            Message::GrantVote { term, sent_at } => self.on_vote_granted(now, from, term, sent_at, actions),
+            Message::Reject { term, highest_term } => {
+                self.on_rejection(now, from, term, highest_term, actions)
             }
-            Message::Grant { term, at } => self.granted(now, from, term, at, out),
-            Message::Refuse { term, known } => self.refused_by(now, from, term, known, out),
-            Message::Renew { term, to, at, lasts, words: _, list }
-                if speaks(&term) && self.plausible(&term) =>
+            Message::Renew { term, to_incarnation, sent_at, duration, last_directive: _, list }
+                if is_senders_term(&term) && self.is_plausible(&term) =>
             {
-                self.renewed(now, term, to, at, lasts, list, out);
+                self.on_renewal(now, term, to_incarnation, sent_at, duration, list, actions);
             }
-            Message::Held { term, at, through, carried } => {
-                self.held(now, from, term, at, through, &carried);
+            Message::Ack { term, sent_at, through, inherited } => {
+                self.on_ack(now, from, term, sent_at, through, &inherited);
             }
-            Message::Words { term, to, after, upto, words } if speaks(&term) && self.plausible(&term) => {
-                self.worded(now, term, to, after, upto, &words, out);
+            Message::Directives { term, to_incarnation, after, up_to, directives }
+                if is_senders_term(&term) && self.is_plausible(&term) =>
+            {
+                self.on_directives(now, term, to_incarnation, after, up_to, &directives, actions);
             }
-            Message::Stood { term, back } if speaks(&term) => {
-                self.stood(now, term, back);
-                if back {
-                    out.push(Output::Send { to: from, message: Message::StoodHeard { term } });
+            Message::TermEnded { term, discovery_back } if is_senders_term(&term) => {
+                self.on_term_ended(now, term, discovery_back);
+                if discovery_back {
+                    actions.push(Output::Send { to: from, message: Message::TermEndedAck { term } });
                 }
             }
-            Message::StoodHeard { term } => self.stood_heard(from, term),
+            Message::TermEndedAck { term } => self.on_term_ended_ack(from, term),
             _ => {}
         }
     }
 
-    fn ask(&mut self, now: Millis, out: &mut Vec<Output>) {
-        let asking = match self.role() {
-            Role::Coordinates if self.acting(now) => Asking::Often,
-            Role::Follows if self.own_reach() == Some(Reach::Down) => Asking::Seldom,
+    fn update_polling(&mut self, now: Millis, actions: &mut Vec<Output>) {
+        let polling = match self.role() {
+            Role::Coordinator if self.is_acting(now) => Asking::Often,
+            Role::Follower if self.own_reach() == Some(Reach::Down) => Asking::Seldom,
             _ => Asking::Usual,
         };
-        if asking != self.asked {
-            self.asked = asking;
-            out.push(Output::Ask(asking));
+        if polling != self.polling {
+            self.polling = polling;
+            actions.push(Output::SetPolling(polling));
         }
     }
 
-    /// Asks to be woken when something is due next.
-    fn wake(&mut self, now: Millis, out: &mut Vec<Output>) {
-        let lapse = (!self.obeyed.is_empty()).then(|| self.obeyed.at + LAPSE * self.setup.lease);
-        let quarantine = self.quarantined(now).then_some(self.setup.quarantine);
-        let free = self.promise.map(|promise| promise.until).filter(|until| *until > now);
+    /// Requests a wake-up for the next time at which something is due.
+    fn schedule_wake(&mut self, now: Millis, actions: &mut Vec<Output>) {
+        let withdrawals_expire = (!self.applied.is_empty())
+            .then(|| self.applied.last_contact + WITHDRAWAL_TTL_LEASES * self.params.lease);
+        let quarantine = self.quarantined(now).then_some(self.params.quarantine_until);
+        let promise_ends = self.promise.map(|promise| promise.until).filter(|until| *until > now);
         let times = [
             self.needed_at(now),
             quarantine,
-            free,
-            self.stand_at,
-            self.candidacy.as_ref().map(|candidacy| candidacy.ends.min(candidacy.again)),
-            self.office.as_ref().map(|office| office.renew),
+            promise_ends,
+            self.candidacy_at,
+            self.candidacy.as_ref().map(|candidacy| candidacy.ends_at.min(candidacy.resend_at)),
+            self.leadership.as_ref().map(|leadership| leadership.renew_at),
             self.lease_until(),
-            self.leaving.as_ref().map(|leaving| leaving.again),
-            self.heard.map(|(_, until)| until),
-            lapse,
+            self.resignation.as_ref().map(|resignation| resignation.resend_at),
+            self.following.map(|(_, until)| until),
+            withdrawals_expire,
             self.lists.next(),
         ];
         let Some(next) = times.into_iter().flatten().min().map(|at| at.max(now + 1)) else { return };
-        if self.wake.is_none_or(|wake| wake <= now || next < wake) {
-            self.wake = Some(next);
-            out.push(Output::WakeAt(next));
+        if self.next_wake.is_none_or(|wake| wake <= now || next < wake) {
+            self.next_wake = Some(next);
+            actions.push(Output::WakeAt(next));
         }
     }
 }
