--- a/crates/peers/tests/fleet/simulation.rs
+++ b/crates/peers/tests/fleet/simulation.rs
@@ -1,4 +1,5 @@
-//! The cluster and its links: an event queue in milliseconds, and a seed for all that is left to chance.
+//! A simulated cluster: members, the network between them, and a queue of events with a clock in
+//! milliseconds. All randomness comes from one seed.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,10 +11,12 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
+/// The address of a member: its port is 10,000 plus its position.
 fn address_of(member: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 10_000 + member as u16))
 }
 
+/// The configuration of member `me` in a cluster of `count` members in one region and zone.
 pub fn config(count: usize, me: usize) -> Config {
     let member = |n: usize| Member {
         name: format!("s{n:05}"),
@@ -32,32 +35,47 @@
     }
 }
 
+/// Something that happens at a member at a certain time.
 enum Event {
+    /// A datagram arrives at the member `to`.
     Datagram { from: usize, to: usize, bytes: Vec<u8> },
+    /// A timer of a member is due.
     Wake(usize),
 }
 
+/// Members in one thread, with a simulated network and clock.
 pub struct Cluster {
+    /// The current time, which is the same at all members.
     pub now: Millis,
+    /// The running members by position. `None` stands for a stopped member.
     pub peers: Vec<Option<Peer>>,
+    /// By member, all outputs except datagrams, timers and guidance.
     pub outputs: Vec<Vec<Output>>,
-    /// What members' modules were given, when and whose.
+    /// All guidance that members gave to their modules, with the time and the member.
     pub guidance: Vec<(Millis, Guidance, MemberId)>,
+    /// The probability that the network loses a datagram.
     pub loss: f64,
+    /// Changes the configuration of each member before its start.
     configure: fn(&mut Config),
+    /// By member, all datagrams that it sent.
     sent_datagrams: Vec<Vec<Vec<u8>>>,
+    /// By member, the time at which its process resumes after a pause.
     paused_until: Vec<Millis>,
+    /// Whether the network drops all datagrams from the first member to the second.
     is_cut: Box<dyn Fn(usize, usize) -> bool>,
+    /// Pending events, by time and then in the order in which they were scheduled.
     events: BTreeMap<(Millis, u64), Event>,
     events_scheduled: u64,
     rng: Pcg64Mcg,
 }
 
 impl Cluster {
+    /// Starts a cluster of `count` members with the default configuration.
     pub fn new(count: usize, seed: u64) -> Cluster {
         Cluster::with_config(count, seed, |_| {})
     }
 
+    /// Starts a cluster of `count` members whose configuration `configure` has changed.
     pub fn with_config(count: usize, seed: u64, configure: fn(&mut Config)) -> Cluster {
         let mut cluster = Cluster {
             now: 1_000,
@@ -77,41 +95,49 @@
         cluster
     }
 
+    /// Starts a member. Its incarnation is the simulated wall clock, in Unix milliseconds.
     pub fn start(&mut self, member: usize) {
         self.start_with_incarnation(member, 1_700_000_000_000 + self.now);
     }
 
+    /// Starts a member with the given incarnation.
     pub fn start_with_incarnation(&mut self, member: usize, incarnation: u64) {
         let mut config = config(self.peers.len(), member);
         (self.configure)(&mut config);
         let peer =
-            Peer::new(config, self.now, incarnation, self.rng.random()).expect("it is well configured");
+            Peer::new(config, self.now, incarnation, self.rng.random()).expect("the configuration is valid");
         self.peers[member] = Some(peer);
         self.handle(member, Input::Woke);
     }
 
+    /// Stops a member without notice to the others, as a crash does.
     pub fn stop(&mut self, member: usize) {
         self.peers[member] = None;
     }
 
-    /// Nothing reaches the process for so long, and then all of it.
+    /// Pauses the process of a member. Datagrams and timers that come due meanwhile reach it when it
+    /// resumes.
     pub fn pause(&mut self, member: usize, duration: Millis) {
         self.paused_until[member] = self.now + duration;
     }
 
+    /// From now on, drops the datagrams for whose sender and receiver `is_cut` holds.
     pub fn partition(&mut self, is_cut: impl Fn(usize, usize) -> bool + 'static) {
         self.is_cut = Box::new(is_cut);
     }
 
-    /// The last datagrams that a member sent.
+    /// The last 100 datagrams that a member sent, the latest first.
     pub fn last_sent_by(&self, member: usize) -> Vec<Vec<u8>> {
         self.sent_datagrams[member].iter().rev().take(100).cloned().collect()
     }
 
+    /// Delivers a datagram to a member without the loss and the delay of the network.
     pub fn deliver(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
         self.schedule(self.now, Event::Datagram { from, to, bytes });
     }
 
+    /// Hands an input to a member and carries out what the member outputs. The network duplicates one
+    /// datagram in fifty and delays each by 1 to 20 ms. Inputs for a stopped member are dropped.
     pub fn handle(&mut self, member: usize, input: Input) {
         let Some(peer) = &mut self.peers[member] else { return };
         let mut outputs = Vec::new();
@@ -138,13 +164,15 @@
         }
     }
 
+    /// Processes all events of the next `duration` milliseconds.
     pub fn run(&mut self, duration: Millis) {
         let end = self.now + duration;
         while self.step(end) {}
         self.now = end;
     }
 
-    /// How long until it is so, looked at each 50 ms.
+    /// Runs the cluster until `condition` holds, which is checked every 50 ms, and returns how long that
+    /// took. Returns `None` if the condition does not hold within `limit`.
     pub fn run_until(
         &mut self,
         limit: Millis,
@@ -160,6 +188,7 @@
         None
     }
 
+    /// Processes the next event that is due by `end`. Returns false if there is none.
     fn step(&mut self, end: Millis) -> bool {
         let Some(entry) = self.events.first_entry().filter(|entry| entry.key().0 <= end) else {
             return false;
@@ -184,6 +213,7 @@
         true
     }
 
+    /// Adds an event to the queue.
     fn schedule(&mut self, at: Millis, event: Event) {
         self.events_scheduled += 1;
         self.events.insert((at, self.events_scheduled), event);
