--- a/crates/peers/tests/fleet/hostile.rs
+++ b/crates/peers/tests/fleet/hostile.rs
@@ -1,4 +1,4 @@
-//! Whatever comes in, a member goes on.
+//! Tests that malformed, foreign or outdated input neither stops a member nor corrupts its state.
 
 use peers::api::{Fact, FactKind, Input, MemberId, Output};
 use peers::facts::{Facts, OWNED, Stamped};
@@ -8,7 +8,8 @@
 
 use crate::simulation::{Cluster, config};
 
-/// Hands a member bytes from another's address, and gives what both then still do: the second member hears the first.
+/// Hands member 0 the datagrams from the address of member 1. Returns whether member 0 still works
+/// afterwards: whether a fact that it publishes reaches member 2.
 fn works_after(datagrams: &[Vec<u8>]) -> bool {
     let mut cluster = Cluster::new(3, 1);
     cluster.run(1_000);
@@ -40,8 +41,8 @@
     ) {
         let head = Head::new(wire::digest(&config(3, 0)), MemberId(1), incarnation);
         let datagrams: Vec<Vec<u8>> = parts.iter().map(|part| {
-            let mut bytes = postcard::to_allocvec(&head).expect("it encodes");
-            bytes.extend(postcard::to_allocvec(part).expect("it encodes"));
+            let mut bytes = postcard::to_allocvec(&head).expect("the value can be encoded");
+            bytes.extend(postcard::to_allocvec(part).expect("the value can be encoded"));
             bytes
         }).collect();
         prop_assert!(works_after(&datagrams));
@@ -71,7 +72,7 @@
     other_zone.members[2].zone = "z2".into();
     let mut other_address = ours.clone();
     other_address.members[2].address = config(9, 0).members[8].address;
-    assert_eq!(wire::digest(&ours), wire::digest(&other_address), "addresses are not part of it");
+    assert_eq!(wire::digest(&ours), wire::digest(&other_address), "the digest does not cover addresses");
     let send = |cluster: &mut Cluster, digest, from: usize, part: &[u8]| {
         let mut outbox = Outbox::new(Head::new(digest, MemberId(1), 1 << 50));
         outbox.push(MemberId(0), Kind::FACTS, part);
@@ -81,17 +82,20 @@
         }
         refused_count(cluster) > before
     };
-    assert!(send(&mut cluster, wire::digest(&other_zone), 1, &[]), "other members are configured");
-    assert!(send(&mut cluster, wire::digest(&ours), 2, &[]), "from another's address");
-    assert!(send(&mut cluster, wire::digest(&ours), 1, &[1, 2, 3]), "facts that are none");
+    assert!(send(&mut cluster, wire::digest(&other_zone), 1, &[]), "the sender has other members configured");
+    assert!(send(&mut cluster, wire::digest(&ours), 2, &[]), "it comes from the address of another member");
+    assert!(send(&mut cluster, wire::digest(&ours), 1, &[1, 2, 3]), "the facts are malformed");
     assert!(!send(&mut cluster, wire::digest(&ours), 1, &[]));
 }
 
+/// A `RULES` fact of member 1, as another member sends it, with an age of 10 ms.
 fn stamped_fact(incarnation: u64, version: u32, key: u64, body: &[u8]) -> Stamped {
     let fact = Fact { kind: FactKind::RULES, key, body: body.to_vec() };
     Stamped { owner: MemberId(1), incarnation, version, age: 10, fact }
 }
 
+/// The highest incarnation wins, and within one incarnation the highest version. An older version does not
+/// bring back a withdrawn fact. Facts of a member that is gone are not accepted until it is alive again.
 #[test]
 fn an_older_fact_never_replaces_a_newer_one() {
     let mut facts = Facts::new(&config(5, 0), 1_000, 1, 1);
@@ -105,7 +109,7 @@
     assert_eq!(
         value_after(&mut facts, stamped_fact(6, 1, 2, b"anew")),
         None,
-        "a newer process says nothing of it"
+        "the newer process has not published it"
     );
     assert_eq!(value_after(&mut facts, stamped_fact(5, 8, 1, b"former")), None);
     assert_eq!(
@@ -113,7 +117,7 @@
         Some(b"c".to_vec())
     );
     assert_eq!(value_after(&mut facts, stamped_fact(6, 3, 1, b"")), None);
-    assert_eq!(value_after(&mut facts, stamped_fact(6, 2, 1, b"c")), None, "it was taken back");
+    assert_eq!(value_after(&mut facts, stamped_fact(6, 2, 1, b"c")), None, "it was withdrawn");
     facts.gone(MemberId(1));
     assert_eq!(value_after(&mut facts, stamped_fact(6, 4, 1, b"d")), None, "its owner is gone");
     facts.alive(MemberId(1), 6);
@@ -123,6 +127,8 @@
     );
 }
 
+/// A member holds at most [`OWNED`] facts of each owner, itself included, and refuses facts with values out
+/// of range.
 #[test]
 fn one_owner_cannot_exceed_its_fact_limit() {
     let mut facts = Facts::new(&config(5, 0), 1_000, 1, 1);
--- a/crates/peers/tests/fleet/incarnation.rs
+++ b/crates/peers/tests/fleet/incarnation.rs
@@ -1,4 +1,5 @@
-//! Members whose incarnation is lower than what others know of them: a wall clock was stepped back between two starts.
+//! Tests of a member whose incarnation is lower than the one that other members know of it. This happens
+//! when its wall clock was set back between two starts.
 
 use peers::api::{Input, MemberId};
 use peers::wire::{self, HIGHEST_INCARNATION, Head, Kind, Outbox};
@@ -6,61 +7,70 @@
 use crate::all_members_alive;
 use crate::simulation::{Cluster, config};
 
+/// One hour in milliseconds.
 const HOUR: u64 = 3_600_000;
 
+/// The current incarnation of a member, if it runs.
 fn incarnation(cluster: &Cluster, member: usize) -> Option<u64> {
     cluster.peers[member].as_ref().map(|peer| peer.incarnation())
 }
 
-/// Whether everybody lives, and a member with a higher incarnation than this.
+/// Whether all members see each other alive and `member` has a higher incarnation than `previous`.
 fn all_alive_and_incarnation_above(cluster: &Cluster, member: usize, previous: Option<u64>) -> bool {
     all_members_alive(cluster) && incarnation(cluster, member) > previous
 }
 
 #[test]
 fn a_member_restarted_an_hour_back_rejoins_within_seconds() {
-    // Given a cluster, when a member restarts whose clock was stepped back by an hour.
+    // Given a cluster, when a member restarts after its clock was set back by an hour,
     let mut cluster = Cluster::new(5, 21);
-    cluster.run_until(20_000, all_members_alive).expect("all know all");
+    cluster.run_until(20_000, all_members_alive).expect("all members see each other alive");
     let previous = incarnation(&cluster, 2);
     cluster.stop(2);
     cluster.run(500);
     cluster.start_with_incarnation(2, 1_700_000_000_000 + cluster.now - HOUR);
-    // Then it is a member again, as a later process.
+    // then it rejoins with a higher incarnation than before.
     let took = cluster
         .run_until(20_000, |cluster| all_alive_and_incarnation_above(cluster, 2, previous))
-        .expect("it lives");
+        .expect("the member rejoins");
     println!("rejoined after {took} ms");
     assert!(took <= 5_000, "{took} ms");
 }
 
-/// A datagram from a member to another, which says that a later start of that one is known.
+/// A datagram in which the member `from` tells the member `to` that it knows a later start of `to`, with
+/// the incarnation `claimed`.
 fn outdated_datagram(from: u16, to: u16, claimed: u64) -> Vec<u8> {
     let head = Head::new(wire::digest(&config(5, 0)), MemberId(from), 1_700_000_000_000 + 1_000);
     let mut outbox = Outbox::new(head);
-    outbox.push(MemberId(to), Kind::OUTDATED, &postcard::to_allocvec(&claimed).expect("it encodes"));
-    outbox.drain().next().expect("a datagram").1
+    outbox.push(
+        MemberId(to),
+        Kind::OUTDATED,
+        &postcard::to_allocvec(&claimed).expect("the value can be encoded"),
+    );
+    outbox.drain().next().expect("the outbox holds a datagram").1
 }
 
-/// Guards against a member that is shut out for good: its next start cannot be later than the highest.
+/// Guards against a member that is locked out for good. If a bogus claim could raise its incarnation to the
+/// highest allowed one, no later start could have a higher incarnation.
 #[test]
 fn a_claim_far_ahead_does_not_lock_a_member_out() {
-    // Given a cluster whose member 2 is told by member 1 alone that a start of it far ahead is known.
+    // Given a cluster in which only member 1 claims to know starts of member 2 that are far ahead of its
+    // incarnation,
     let mut cluster = Cluster::new(5, 22);
-    cluster.run_until(20_000, all_members_alive).expect("all know all");
+    cluster.run_until(20_000, all_members_alive).expect("all members see each other alive");
     let before = incarnation(&cluster, 2);
     for claimed in [HIGHEST_INCARNATION, HIGHEST_INCARNATION - 1, 1 << 45] {
         let from = config(5, 0).members[1].address;
         cluster.handle(2, Input::Datagram { from, bytes: &outdated_datagram(1, 2, claimed) });
     }
     cluster.run(5_000);
-    assert_eq!(incarnation(&cluster, 2), before, "one claim is not heeded");
-    // When it restarts, then it is a member within seconds.
+    assert_eq!(incarnation(&cluster, 2), before, "claims far ahead from one member alone are not accepted");
+    // when member 2 restarts, then it rejoins within seconds.
     cluster.stop(2);
     cluster.start(2);
     let took = cluster
         .run_until(20_000, |cluster| all_alive_and_incarnation_above(cluster, 2, before))
-        .expect("it lives");
+        .expect("the member rejoins");
     println!("rejoined after {took} ms");
     assert!(took <= 5_000, "{took} ms");
 }
--- a/crates/peers/tests/fleet/integration.rs
+++ b/crates/peers/tests/fleet/integration.rs
@@ -1,4 +1,5 @@
-//! All parts of several members at work together.
+//! Tests of whole members in a cluster: membership, facts, the coordinator, overload control and leases
+//! work together.
 
 use peers::api::{
     Asking, Because, ClassCounts, ClassWorth, Entry, FactKind, Guidance, Input, Known, MemberId, Output,
@@ -9,6 +10,7 @@
 use crate::all_members_alive;
 use crate::simulation::Cluster;
 
+/// The entry of the server `srv-{n}` in a server list.
 fn server_entry(n: u16) -> Entry {
     Entry {
         host: format!("srv-{n}"),
@@ -22,16 +24,19 @@
     }
 }
 
+/// A complete server list from discovery.
 fn list_input(version: u64, entries: Vec<Entry>) -> Input<'static> {
     Input::Listed { version, whole: true, entries }
 }
 
+/// The members that consider themselves coordinator.
 fn coordinators(cluster: &Cluster) -> Vec<usize> {
     let is_coordinator =
         |m: &usize| cluster.peers[*m].as_ref().is_some_and(|p| p.view().role == Role::Coordinator);
     (0..cluster.peers.len()).filter(is_coordinator).collect()
 }
 
+/// Whether a member has told its process that a server has this standing, for this reason.
 fn was_notified(cluster: &Cluster, member: usize, host: &str, standing: Standing, why: Because) -> bool {
     let matching = |output: &Output| {
         matches!(output, Output::Server { entry, why: reason }
@@ -50,7 +55,9 @@
     cluster.run(10_000);
     assert!(all_members_alive(&cluster) && coordinators(&cluster).is_empty());
     (0..7).for_each(|member| cluster.handle(member, Input::Discovery(Reach::Down)));
-    let took = cluster.run_until(20_000, |cluster| coordinators(cluster).len() == 1).expect("one is elected");
+    let took = cluster
+        .run_until(20_000, |cluster| coordinators(cluster).len() == 1)
+        .expect("a coordinator is elected");
     println!("elected after {took} ms");
     cluster.run(3_000);
     let coordinator = coordinators(&cluster)[0];
@@ -59,16 +66,17 @@
     assert!(
         (0..7).all(|m| last_asking(m) == Some(if m == coordinator { Asking::Often } else { Asking::Seldom }))
     );
-    // Two see one server draining: it is withdrawn for all.
+    // Two members see the same server draining. The coordinator withdraws it at all members.
     for member in [(coordinator + 1) % 7, (coordinator + 2) % 7] {
         cluster.handle(member, Input::Saw { server: ServerKey::of("srv-2"), standing: Standing::Draining });
     }
     let withdrawn = |cluster: &Cluster| {
         (0..7).all(|m| was_notified(cluster, m, "srv-2", Standing::Draining, Because::Withdrawn))
     };
-    let took = cluster.run_until(10_000, withdrawn).expect("all are told");
+    let took = cluster.run_until(10_000, withdrawn).expect("the server is withdrawn at all members");
     println!("withdrawn after {took} ms");
-    // Discovery tells the coordinator a newer list, which all get, and there is none any more.
+    // The coordinator reaches discovery again and gets a newer list, which all members get from it. When
+    // all members reach discovery again, no member is coordinator any more.
     cluster.handle(coordinator, list_input(6, vec![server_entry(1), server_entry(2), server_entry(3)]));
     cluster.handle(coordinator, Input::Discovery(Reach::Up));
     let has_newer_list = |cluster: &Cluster| {
@@ -76,28 +84,32 @@
             m == coordinator || was_notified(cluster, m, "srv-3", Standing::Serving, Because::NewerList)
         })
     };
-    let took = cluster.run_until(10_000, has_newer_list).expect("all get the list");
-    println!("spread after {took} ms");
+    let took = cluster.run_until(10_000, has_newer_list).expect("all members get the newer list");
+    println!("list distributed after {took} ms");
     (0..7).for_each(|member| cluster.handle(member, Input::Discovery(Reach::Up)));
     assert!(cluster.run_until(10_000, |cluster| coordinators(cluster).is_empty()).is_some());
 }
 
+/// An election needs a majority of the configured members of the region, and half is not a majority.
 #[test]
 fn half_of_a_region_elects_nobody() {
     let mut cluster = Cluster::new(6, 22);
-    cluster.run_until(20_000, all_members_alive).expect("all know all");
+    cluster.run_until(20_000, all_members_alive).expect("all members see each other alive");
     cluster.partition(|from, to| (from < 3) != (to < 3));
     (0..6).for_each(|member| cluster.handle(member, Input::Discovery(Reach::Down)));
     let elected = cluster.run_until(20_000, |cluster| !coordinators(cluster).is_empty());
     assert_eq!(elected, None);
 }
 
+/// A server that is warming up may receive 4.7 requests per window from all members together, so 4 whole
+/// requests. The leases that overlap any window must add up to no more, and the members must still get a
+/// substantial part of the limit: more than 60 requests in 40 s.
 #[test]
 fn guidance_limits_requests_to_a_server_that_is_warming_up() {
     let mut cluster = Cluster::new(10, 23);
     let server = ServerKey(9);
     let (mut grants, mut lease_count) = (Vec::new(), 0);
-    cluster.run_until(20_000, all_members_alive).expect("all know all");
+    cluster.run_until(20_000, all_members_alive).expect("all members see each other alive");
     for _ in 0..200 {
         for member in 0..10 {
             let known =
@@ -144,7 +156,8 @@
         |m: u16| cluster.guidance.iter().rev().find(|g| g.2 == MemberId(m)).map(|g| g.1.clone());
     let guidance: Vec<Guidance> = (0..6).filter_map(last_guidance).collect();
     assert_eq!(guidance.len(), 6);
-    // Half is refused everywhere, so that all shed, and the cheap class before the dear one.
+    // All members reject half of their requests, so all of them shed load. They shed the class of lower
+    // worth first.
     assert!(guidance.iter().all(|g| g.level > 0.05 && g.admit[0] < g.admit[1]), "{guidance:?}");
     let assigned = |servers_of: fn(&Guidance) -> &Option<Vec<ServerKey>>| {
         guidance
