--- a/crates/peers/tests/sum_of_leases.rs
+++ b/crates/peers/tests/sum_of_leases.rs
@@ -1,5 +1,5 @@
-//! What all members are given in any window of real time is at most the bound, whatever happens to datagrams, clocks and
-//! processes.
+//! Tests that the leases of all members in any window of real time add up to at most the bound. This holds
+//! whatever happens to datagrams, clocks and processes.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,8 +11,10 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
+/// The key of the server that all members share.
 const SERVER: u64 = 77;
 
+/// The configuration of member `me` in a cluster of `count` members in one region and zone.
 fn config(count: usize, me: usize) -> Config {
     let member = |n: usize| Member {
         name: format!("s{n:03}"),
@@ -31,28 +33,39 @@
     }
 }
 
-/// A process with its clock: real time t is `at + rate * t` here.
+/// A process of a member and its clock, which shows `offset + rate * t` at the real time t in milliseconds.
 struct Process {
     ledger: Ledger,
     incarnation: u64,
     offset: f64,
+    /// How fast the clock runs compared with real time.
     rate: f64,
+    /// The real time at which the next period begins.
     next_period: f64,
 }
 
+/// The conditions of one simulation.
 #[derive(Debug, Clone)]
 struct Conditions {
     members: usize,
+    /// The bound: requests per window for all members together.
     total: u32,
+    /// The window in milliseconds.
     window: Millis,
+    /// The probability that a datagram is lost.
     loss: f64,
+    /// The probability that a datagram is sent twice.
     duplication: f64,
+    /// The longest delay of a datagram in milliseconds.
     max_delay: f64,
+    /// The mean number of restarts of a member per 200 ms.
     restarts: f64,
+    /// Whether one half of the members is cut off from the other half for ten seconds out of twenty.
     partitions: bool,
     seed: u64,
 }
 
+/// Any conditions under which the bound must hold.
 fn conditions() -> impl Strategy<Value = Conditions> {
     let network = (0.0..0.9, 0.0..0.5, prop_oneof![Just(20.0), Just(500.0), Just(4_000.0)]);
     let process = (prop_oneof![Just(0.0), Just(0.002), Just(0.02)], any::<bool>(), any::<u64>());
@@ -71,13 +84,16 @@
     )
 }
 
-/// Everything that was handed out: from and until when it may be used in real time, and how much.
+/// All grants of a simulation: from when and until when in real time each may be used, and for how many
+/// requests.
 type Grants = Vec<(f64, f64, u32)>;
 
-/// What is on the way to a process: from whom and what, by when it comes, in steps, and its number.
+/// The datagrams in flight to a member, with their senders. They are in the order of the step in which they
+/// arrive and of a sequence number.
 type InFlight = BTreeMap<(u64, u64), (usize, Vec<u8>)>;
 
-/// Plays a minute of it. `rate` is how much faster or slower than real time clocks may be.
+/// Simulates one minute in steps of 5 ms and returns all grants. Each clock runs faster or slower than real
+/// time by the share `max_drift`, or at the speed of real time.
 fn simulate(conditions: &Conditions, max_drift: f64) -> Grants {
     let mut rng = Pcg64Mcg::seed_from_u64(conditions.seed);
     let count = conditions.members;
@@ -117,7 +133,7 @@
             }
             let not_due = in_flight[member].split_off(&(step + 1, 0));
             for (from, bytes) in std::mem::replace(&mut in_flight[member], not_due).into_values() {
-                let (head, parts) = wire::read(&bytes, digest).expect("it is whole");
+                let (head, parts) = wire::read(&bytes, digest).expect("the datagram is well-formed");
                 for (kind, part) in parts {
                     assert_eq!(kind, Kind::LEASE);
                     let from = MemberId(from as u16);
@@ -126,11 +142,11 @@
             }
             for (to, bytes) in out.drain() {
                 let to = usize::from(to.0);
-                let cut = conditions.partitions
+                let separated = conditions.partitions
                     && (member < count / 2) != (to < count / 2)
                     && (step / 2_000) % 2 == 1;
                 for _ in 0..1 + usize::from(rng.random_bool(conditions.duplication)) {
-                    if !cut && !rng.random_bool(conditions.loss) {
+                    if !separated && !rng.random_bool(conditions.loss) {
                         sequence += 1;
                         let at = step + 1 + (rng.random_range(0.0..conditions.max_delay) / 5.0) as u64;
                         in_flight[to].insert((at, sequence), (member, bytes.clone()));
@@ -142,7 +158,8 @@
     grants
 }
 
-/// The most that may be used in one window: each grant at any time of its own, so that one counts whose time touches it.
+/// Returns the largest number of requests that may be sent within one window. A grant may be used at any
+/// time while it is valid, so it counts in full in each window that overlaps its validity.
 fn max_in_any_window(grants: &Grants, window: f64) -> u32 {
     let edges = grants.iter().map(|(from, ..)| *from).chain(grants.iter().map(|(_, until, _)| *until));
     let granted_in_window = |x: f64| {
@@ -161,6 +178,7 @@
         prop_assert!(max <= conditions.total, "{max} of {}", conditions.total);
     }
 
+    /// The shares of the members add up to the bound, and no share shrinks when the bound grows.
     #[test]
     fn rights_sum_to_the_bound_and_only_grow_with_it(count in 1_usize..40, total in 0_u32..200, thing in any::<u64>()) {
         let ledger = Ledger::new(&config(count, 0), 0, 1, 1);
@@ -171,7 +189,8 @@
     }
 }
 
-fn reliable_network() -> Conditions {
+/// Conditions without loss, duplicates, restarts and partitions.
+fn fault_free() -> Conditions {
     Conditions {
         members: 10,
         total: 5,
@@ -185,32 +204,41 @@
     }
 }
 
+/// The check of the bound must be able to fail. With clocks that drift by 60%, far more than the configured
+/// limit, at least one of twenty simulations exceeds the bound.
 #[test]
 fn the_check_detects_clocks_beyond_the_allowed_drift() {
     let detected = (0..20).any(|seed| {
-        let conditions = Conditions { seed, ..reliable_network() };
+        let conditions = Conditions { seed, ..fault_free() };
         max_in_any_window(&simulate(&conditions, 0.6), 1_000.0) > conditions.total
     });
     assert!(detected);
 }
 
+/// Without faults, the members together use at least half of the bound. For this, requests that were lent
+/// have to return to their lender.
 #[test]
-fn loans_are_returned_and_most_of_the_bound_is_used() {
-    let grants = simulate(&reliable_network(), 0.01);
-    // The last half minute of sixty seconds, where each window of a second has five.
+fn loans_are_returned_and_half_of_the_bound_is_used() {
+    let grants = simulate(&fault_free(), 0.01);
+    // The second half of the minute. Its 30 windows of one second allow 5 requests each, so 150 in total.
     let used: u32 = grants.iter().filter(|(from, ..)| *from > 30_000.0).map(|(.., requests)| requests).sum();
-    println!("{used} of 150");
+    println!("{used} of 150 requests granted");
     assert!(used >= 75, "{used} of 150");
 }
 
-/// Guards the sum where a loan is late and its borrower restarted meanwhile: its lender counts it for the former time.
+/// Guards the bound when a loan arrives late and its borrower has restarted meanwhile. The lender charges
+/// the loan for the time that the previous process asked for. If the new process took the loan as the
+/// answer to a request of its own, it would use the loan beyond that time.
 #[test]
 fn a_loan_to_a_previous_process_is_not_accepted_by_its_successor() {
-    // Given a lender that has all of a thing by right, and a borrower whose ask it answers.
+    // Given a lender that is entitled to the whole bound, and a borrower whose request for a loan it
+    // answers,
     let digest = wire::digest(&config(2, 0));
     let all_members = [MemberId(0), MemberId(1)];
     let ledger = Ledger::new(&config(2, 0), 0, 1, 1);
-    let thing = (0..).find(|thing| ledger.right(*thing, 1, MemberId(0)) == 1).expect("a thing");
+    let thing = (0..)
+        .find(|thing| ledger.right(*thing, 1, MemberId(0)) == 1)
+        .expect("a server of which member 0 holds the whole bound");
     let bound = Bound { thing, total: 1, window: 1_000 };
     let process = |member, now, incarnation| {
         let mut ledger = Ledger::new(&config(2, member), now, incarnation, 1);
@@ -221,7 +249,7 @@
         let datagrams = out.drain().map(|(_, bytes)| bytes);
         let parts_of = |bytes: Vec<u8>| {
             wire::read(&bytes, digest)
-                .expect("whole")
+                .expect("the datagram is well-formed")
                 .1
                 .iter()
                 .map(|part| part.1.to_vec())
@@ -229,25 +257,26 @@
         };
         datagrams.flat_map(parts_of).collect()
     };
-    let ask_parts = |ledger: &mut Ledger, now, incarnation| {
+    let request_loans = |ledger: &mut Ledger, now, incarnation| {
         let mut out = Outbox::new(Head::new(digest, MemberId(1), incarnation));
         ledger.every_period(now, &all_members, &mut out);
         parts(out)
     };
     let (now, previous, restarted) = (100_000, 1_700_000_000_000, 1_700_000_000_500);
     let mut lender = process(0, 0, 1);
-    let asks = ask_parts(&mut process(1, now, previous), now, previous);
+    let requests = request_loans(&mut process(1, now, previous), now, previous);
     let mut out = Outbox::new(Head::new(digest, MemberId(0), 1));
-    asks.iter().for_each(|part| assert!(lender.heard(now, MemberId(1), previous, part, &mut out)));
+    requests.iter().for_each(|part| assert!(lender.heard(now, MemberId(1), previous, part, &mut out)));
     let loans = parts(out);
-    assert!(!loans.is_empty(), "it lends");
-    // When the borrower has restarted and asked anew before the answer comes, then that gives it nothing.
+    assert!(!loans.is_empty(), "the lender grants a loan");
+    // when the borrower restarts and asks again before the answer arrives, then the answer gives it
+    // nothing.
     for incarnation in [restarted, previous + 1] {
         let mut borrower = process(1, now + 500, incarnation);
-        ask_parts(&mut borrower, now + 500, incarnation);
+        request_loans(&mut borrower, now + 500, incarnation);
         let mut out = Outbox::new(Head::new(digest, MemberId(1), incarnation));
         loans.iter().for_each(|part| assert!(borrower.heard(now + 501, MemberId(0), 1, part, &mut out)));
-        let lease = borrower.grant(now + 502, thing, 300).expect("it is shared");
-        assert_eq!(lease.requests, 0, "as {incarnation}");
+        let lease = borrower.grant(now + 502, thing, 300).expect("the server is shared");
+        assert_eq!(lease.requests, 0, "with incarnation {incarnation}");
     }
 }
