--- a/crates/peers/tests/fleet/incarnation.rs
+++ b/crates/peers/tests/fleet/incarnation.rs
@@ -22,14 +22,14 @@
 
 #[test]
 fn a_member_restarted_an_hour_back_rejoins_within_seconds() {
-    // Given a cluster, when a member restarts after its clock was set back by an hour,
+    // A member restarts after its clock was set back by an hour.
     let mut cluster = Cluster::new(5, 21);
     cluster.run_until(20_000, all_members_alive).expect("all members see each other alive");
     let previous = incarnation(&cluster, 2);
     cluster.stop(2);
     cluster.run(500);
     cluster.start_with_incarnation(2, 1_700_000_000_000 + cluster.now - HOUR);
-    // then it rejoins with a higher incarnation than before.
+    // It must rejoin with a higher incarnation than before.
     let took = cluster
         .run_until(20_000, |cluster| all_alive_and_incarnation_above(cluster, 2, previous))
         .expect("the member rejoins");
@@ -54,8 +54,8 @@
 /// highest allowed one, no later start could have a higher incarnation.
 #[test]
 fn a_claim_far_ahead_does_not_lock_a_member_out() {
-    // Given a cluster in which only member 1 claims to know starts of member 2 that are far ahead of its
-    // incarnation,
+    // Only member 1 claims to know starts of member 2, and these are far ahead of the incarnation of member
+    // 2.
     let mut cluster = Cluster::new(5, 22);
     cluster.run_until(20_000, all_members_alive).expect("all members see each other alive");
     let before = incarnation(&cluster, 2);
@@ -65,7 +65,7 @@
     }
     cluster.run(5_000);
     assert_eq!(incarnation(&cluster, 2), before, "claims far ahead from one member alone are not accepted");
-    // when member 2 restarts, then it rejoins within seconds.
+    // Member 2 must rejoin within seconds after a restart.
     cluster.stop(2);
     cluster.start(2);
     let took = cluster
--- a/crates/peers/tests/fleet/simulation.rs
+++ b/crates/peers/tests/fleet/simulation.rs
@@ -146,7 +146,7 @@
             match output {
                 Output::WakeAt(at) => self.schedule(at, Event::Wake(member)),
                 Output::Send { to, bytes } => {
-                    assert!(bytes.len() <= DATAGRAM_BYTES, "{} bytes", bytes.len());
+                    assert!(bytes.len() <= DATAGRAM_BYTES, "a datagram of {} bytes", bytes.len());
                     self.sent_datagrams[member].push(bytes.clone());
                     let to = usize::from(to.port() - 10_000);
                     for _ in 0..1 + usize::from(self.rng.random_bool(0.02)) {
--- a/crates/peers/tests/sum_of_leases.rs
+++ b/crates/peers/tests/sum_of_leases.rs
@@ -231,8 +231,7 @@
 /// answer to a request of its own, it would use the loan beyond that time.
 #[test]
 fn a_loan_to_a_previous_process_is_not_accepted_by_its_successor() {
-    // Given a lender that is entitled to the whole bound, and a borrower whose request for a loan it
-    // answers,
+    // The lender is entitled to the whole bound. It answers the request of a borrower with a loan.
     let digest = wire::digest(&config(2, 0));
     let all_members = [MemberId(0), MemberId(1)];
     let ledger = Ledger::new(&config(2, 0), 0, 1, 1);
@@ -269,8 +268,7 @@
     requests.iter().for_each(|part| assert!(lender.heard(now, MemberId(1), previous, part, &mut out)));
     let loans = parts(out);
     assert!(!loans.is_empty(), "the lender grants a loan");
-    // when the borrower restarts and asks again before the answer arrives, then the answer gives it
-    // nothing.
+    // The borrower restarts and asks again before the answer arrives. The answer must not give it any requests.
     for incarnation in [restarted, previous + 1] {
         let mut borrower = process(1, now + 500, incarnation);
         request_loans(&mut borrower, now + 500, incarnation);
