--- a/crates/peers/tests/sum_of_leases.rs
+++ b/crates/peers/tests/sum_of_leases.rs
@@ -268,7 +268,8 @@
     requests.iter().for_each(|part| assert!(lender.heard(now, MemberId(1), previous, part, &mut out)));
     let loans = parts(out);
     assert!(!loans.is_empty(), "the lender grants a loan");
-    // The borrower restarts and asks again before the answer arrives. The answer must not give it any requests.
+    // The borrower restarts and asks again before the answer arrives. The answer must not give it any
+    // requests.
     for incarnation in [restarted, previous + 1] {
         let mut borrower = process(1, now + 500, incarnation);
         request_loans(&mut borrower, now + 500, incarnation);
