--- a/crates/concert/src/guidance.rs
+++ b/crates/concert/src/guidance.rs
@@ -63,7 +63,7 @@
 
 /// A server as the fleet is told of it. All members may send a cold one `fall_multiple` times what it can do for `fall`
 /// milliseconds, that is so many requests of mean work: its size by how long one takes, by the share of its size that it
-/// surely has by now. [`COLD_MARGIN`] of that is given out, since sizes and times are estimates; of what sidecars that go by
+/// surely has by now. [`SLOW_START_LEASE_SHARE`] of that is given out, since sizes and times are estimates; of what sidecars that go by
 /// chance sent, counted, the fullest window had 0.9 of the bound (`docs/incidents/cold-servers-counted.md`).
 ///
 /// `work` is how long a mean server takes for the mean request, in milliseconds.
--- a/crates/sagemast/src/state.rs
+++ b/crates/sagemast/src/state.rs
@@ -338,7 +338,7 @@
     }
 
     /// Returns the share of its full capacity that the server has for certain. During slow start it rises
-    /// linearly from `cold_share` to 1.
+    /// linearly from `initial_share` to 1.
     pub fn warm_fraction(&self, now: Millis, safety: &SlowStartRules) -> f64 {
         match self.started_at {
             Some(started) if now < started + safety.warm_up => {
