--- a/crates/node/src/engine/cluster.rs
+++ b/crates/node/src/engine/cluster.rs
@@ -1,5 +1,8 @@
-//! The fleet that this sidecar acts with, and the rules for where its requests may go: what the engine tells its company
-//! and carries out for it. Without one, none of this runs.
+//! Connects the engine to the cluster logic: the sidecar's membership in a cluster of sidecars, and the
+//! residency rules that restrict where requests may go.
+//!
+//! The cluster logic is a [`Company`], which performs no I/O. The engine passes it inputs and executes its
+//! outputs. If neither membership nor residency rules are configured, none of this code runs.
 
 use std::fmt::{Display, Formatter};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -20,29 +23,30 @@
 use super::transport::{Gate, Pass};
 use super::{Engine, Server, Timer};
 
-/// What an engine is given to act with a fleet, or by rules of residency, or both.
+/// What an engine needs for cluster membership, for residency rules, or for both.
 pub struct ClusterSetup {
-    /// The member that this process is, and the way to the others.
+    /// This process as a cluster member: its configuration, the sender to the other members and the mailbox
+    /// for their datagrams. `None` without cluster membership.
     pub member: Option<(::peers::api::Config, Box<dyn Members>, Mailbox)>,
-    /// Where its requests may go.
+    /// Where requests may go. `None` without residency rules.
     pub rules: Option<Rules>,
-    /// Where it says how eagerly the roster is asked.
+    /// Publishes how often the discovery source is to be polled.
     pub pace: watch::Sender<Pace>,
-    /// Where it shows how it stands.
+    /// Publishes the status for the metrics.
     pub status: watch::Sender<ClusterStatus>,
 }
 
-/// How this sidecar stands in its fleet.
+/// The status of cluster membership and residency rules, for metrics and the log.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ClusterStatus {
-    /// As the company tells it.
+    /// The counters and state that the cluster logic reports.
     pub view: View,
-    /// What became of datagrams.
+    /// Counts of lost datagrams.
     pub losses: Losses,
 }
 
 impl ClusterStatus {
-    /// Its figures by name.
+    /// Returns the metrics as pairs of name and value.
     pub fn metrics(&self) -> Vec<(&'static str, f64)> {
         let ClusterStatus { view, losses } = self;
         let mut metrics = Vec::new();
@@ -96,15 +100,16 @@
     }
 }
 
-/// The same at work.
+/// The engine's handle to the running cluster logic.
 pub(super) struct ClusterHandle {
     core: Arc<Mutex<Company>>,
+    /// Sends and receives datagrams. `None` without cluster membership.
     network: Option<(Box<dyn Members>, Mailbox)>,
     pace: watch::Sender<Pace>,
     status: watch::Sender<ClusterStatus>,
 }
 
-/// A company as transports see it.
+/// Lets transports check the residency rules, at any time and from any task.
 struct ResidencyGate(Arc<Mutex<Company>>);
 
 impl Gate for ResidencyGate {
@@ -113,12 +118,14 @@
     }
 }
 
-/// Held for moments only, never over a wait.
+/// Locks the cluster logic. The lock is held only briefly and never across an `await`.
 fn lock(core: &Mutex<Company>) -> MutexGuard<'_, Company> {
     core.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl ClusterHandle {
+    /// Starts the cluster logic at time 0 of the balancer's clock. `setup` holds everything except the
+    /// membership and the rules, which come from `cluster`.
     pub(super) fn start(
         cluster: ClusterSetup,
         setup: concert::Setup,
@@ -132,17 +139,17 @@
         Ok(ClusterHandle { core: Arc::new(Mutex::new(core)), network, pace, status })
     }
 
-    /// What a transport asks before it writes a request.
+    /// Returns the check that a transport makes before it writes a request of this class and tenant.
     pub(super) fn residency_check(&self, class: ClassId, tenant: TenantId) -> Pass {
         Pass { gate: Arc::new(ResidencyGate(self.core.clone())), class, tenant }
     }
 
-    /// Shows it what the module was told and what it did.
+    /// Shows the cluster logic an event that the balancer handled and the resulting actions.
     pub(super) fn observe(&self, now: Millis, event: &Event, actions: &[Action]) {
         lock(&self.core).observed(now, event, actions);
     }
 
-    /// How it stands now, for all who want to see.
+    /// Returns the current status.
     pub(super) fn status(&self) -> ClusterStatus {
         let losses = self.network.as_ref().map(|(members, _)| members.losses()).unwrap_or_default();
         ClusterStatus { view: lock(&self.core).view(), losses }
@@ -150,7 +157,7 @@
 }
 
 impl Engine {
-    /// Tells the company something, and carries out what it answers.
+    /// Passes an input to the cluster logic and executes the outputs that it returns.
     pub(super) fn notify_cluster(&mut self, input: Input) {
         let now = self.to_millis(Instant::now());
         let Some(cluster) = &self.cluster else { return };
@@ -182,21 +189,21 @@
         }
     }
 
-    /// Lets the roster be asked at another pace.
+    /// Changes how often the discovery source is polled.
     fn set_discovery_pace(&self, pace: Pace) {
         let Some(cluster) = &self.cluster else { return };
         let changed = cluster.pace.send_if_modified(|current| std::mem::replace(current, pace) != pace);
         if changed {
-            let how = match pace {
-                Pace::Usual => "as usual",
-                Pace::Often => "often, for its region",
-                Pace::Seldom => "seldom: the coordinator asks",
+            let rate = match pace {
+                Pace::Usual => "at the usual rate",
+                Pace::Often => "often, on behalf of the region",
+                Pace::Seldom => "rarely, since the coordinator polls it",
             };
-            info!("fleet: discovery is asked {how}");
+            info!("fleet: discovery is polled {rate}");
         }
     }
 
-    /// A time that the company asked for has come.
+    /// Notifies the cluster logic that a timer it requested has fired, and publishes the current status.
     pub(super) fn wake_cluster(&mut self) {
         self.notify_cluster(Input::Woke);
         if let Some(cluster) = &self.cluster {
@@ -204,7 +211,7 @@
         }
     }
 
-    /// Datagrams of other members wait.
+    /// Passes all waiting datagrams of other members to the cluster logic.
     pub(super) fn receive_datagrams(&mut self) {
         let network = self.cluster.as_ref().and_then(|cluster| cluster.network.as_ref());
         let datagrams = network.map(|(_, mailbox)| mailbox.take()).unwrap_or_default();
@@ -213,17 +220,18 @@
         }
     }
 
-    /// Discovery is in reach, or out of it.
+    /// Notifies the cluster logic that discovery became reachable or unreachable.
     pub(super) fn update_discovery_reach(&mut self, reach: Reach) {
         self.notify_cluster(Input::Reach(reach));
     }
 
-    /// Other rules of residency are in force.
+    /// Replaces the residency rules.
     pub(super) fn replace_residency_rules(&mut self, rules: Option<Rules>) {
         self.notify_cluster(Input::Reread(rules));
     }
 
-    /// What a peer or the coordinator says of a server that a list named, applied like a changed list.
+    /// Applies an entry that another member or the coordinator reported about a server known from a list. The
+    /// entry takes effect like a list with a single change.
     fn apply_peer_entry(&mut self, peer_entry: PeerEntry) {
         let PeerEntry { host, dial, zone, kind, cell, standing, weight, started_ms } = peer_entry.clone();
         let serving = standing == Standing::Serving;
@@ -234,7 +242,8 @@
         self.notify_balancer(Event::Listed(ListNews::Changed(vec![listing])));
     }
 
-    /// Tells the company a list of the roster's, in the same words.
+    /// Passes a list from the discovery source to the cluster logic. `complete` means that servers missing
+    /// from `entries` are gone.
     pub(super) fn notify_cluster_of_list(
         &mut self,
         version: u64,
@@ -247,7 +256,7 @@
     }
 }
 
-/// An entry as members tell it.
+/// Converts a list entry to the form that cluster members exchange.
 pub(super) fn to_peer_entry(entry: &Entry) -> PeerEntry {
     let Entry { host, dial, zone, kind, cell, serving, weight, started_ms } = entry.clone();
     let standing = if serving { Standing::Serving } else { Standing::Draining };
@@ -255,7 +264,8 @@
 }
 
 impl Server {
-    /// It, as members tell it; nothing where there are none.
+    /// Returns the latest list entry in the form that cluster members exchange. `None` if no cluster logic
+    /// runs.
     pub(super) fn peer_entry(&self) -> Option<PeerEntry> {
         self.entry.as_deref().map(to_peer_entry)
     }
--- a/crates/node/src/engine/list.rs
+++ b/crates/node/src/engine/list.rs
@@ -1,4 +1,5 @@
-//! The list of upstreams: names and ids, and what the module and the transport are told of them.
+//! Applies lists of upstreams: maintains the known servers and their ids, and notifies the balancer, the
+//! transport and the cluster logic of changes.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -11,11 +12,12 @@
 use super::transport::Peer;
 use super::{Engine, Server};
 
-/// The names of upstreams that are gone are forgotten when there are more than this many names.
+/// When more than this many host names are known, the engine forgets servers that are gone.
 const MAX_UPSTREAM_NAMES: usize = 4_096;
 
 impl Engine {
-    /// Takes in a list or what changed in it; `restored`, it is the one held before a restart.
+    /// Applies a list or a change to it. `restored` means that the list was held before a restart and may be
+    /// old.
     pub(super) fn apply_list(&mut self, list: List, restored: bool) {
         self.resume_from = list.resume_from;
         let complete = list.whole || restored;
@@ -24,7 +26,7 @@
             list.entries.iter().map(|entry| self.update_server(entry, basis)).collect();
         listings.extend(list.leaving.iter().filter_map(|name| self.drain_server(name)));
         if complete {
-            // An entry that cannot be read is not missing: what was known of its host stands.
+            // A server whose entry could not be parsed is not missing: its last known state still applies.
             let unread = list.unread.iter().filter_map(|name| self.upstream_ids.get(name));
             listings
                 .extend(unread.filter_map(|id| self.servers.get(id)).map(|server| server.listing.clone()));
@@ -39,9 +41,10 @@
         if self.upstream_ids.len() > MAX_UPSTREAM_NAMES {
             self.forget_departed_servers();
         }
-        // Whatever discovery says, also that nothing has changed, is all that there is.
+        // Any answer from discovery makes the sidecar ready, even one without changes. A restored list does
+        // so only if it has entries.
         self.intake.update_ready(!restored || !listings.is_empty());
-        // A process that has no list yet has been told none.
+        // An empty restored list means that the process has no list yet, so there is nothing to pass on.
         if self.cluster.is_some() && !(restored && listings.is_empty()) {
             let entries = listings.iter().filter_map(|listing| {
                 let server = self.servers.get(&listing.upstream)?;
@@ -57,7 +60,7 @@
         }));
     }
 
-    /// What is known of when the servers of a list started.
+    /// Returns what is known about the start times in a list beyond its entries.
     fn start_basis(&mut self, list: &List, restored: bool) -> Basis {
         let now = self.to_millis(Instant::now());
         if restored {
@@ -72,21 +75,22 @@
         self.server_ages.listed(now, &list.entries, heard_before, serving)
     }
 
-    /// The same for an entry that another member told of.
+    /// Like [`start_basis`](Engine::start_basis), for an entry reported by another cluster member.
     pub(super) fn start_basis_from_peer(&mut self, entry: &Entry) -> Basis {
         let now = self.to_millis(Instant::now());
         let serving = self.serving_weight();
         self.server_ages.told_by_peer(now, entry, serving)
     }
 
-    /// The weight of all servers that serve.
+    /// Returns the total weight of all serving servers.
     fn serving_weight(&self) -> f64 {
         let listings = self.servers.values().map(|server| &server.listing);
         let serving = listings.filter(|listing| listing.lifecycle == Lifecycle::Serving);
         serving.map(|listing| listing.weight.max(0.0)).sum()
     }
 
-    /// Takes in what the roster says of one upstream, in the module's terms.
+    /// Applies a list entry to the server that it describes, and returns the entry in the balancer's terms. A
+    /// host name that is new gets the next upstream id.
     pub(super) fn update_server(&mut self, entry: &Entry, basis: Basis) -> Listing {
         let id = match self.upstream_ids.get(&entry.host) {
             Some(id) => *id,
@@ -115,7 +119,7 @@
             incarnation: 0,
             entry: None,
         });
-        // Connections to another address or another life lead nowhere, or to the wrong process.
+        // A connection to a previous address or incarnation leads nowhere, or to the wrong process.
         if server.address != entry.dial || server.started_ms != entry.started_ms {
             server.incarnation += 1;
         }
@@ -125,7 +129,9 @@
         listing
     }
 
-    /// When a server started, on the module's clock. What was judged before stands, unless a first list shows better.
+    /// Returns when a server started, on the balancer's clock. An earlier estimate for the same start stays,
+    /// unless a list whose starts may be of any age, such as the first one, gives a significantly different
+    /// estimate.
     fn start_time(&mut self, id: UpstreamId, started_ms: f64, basis: Basis) -> Option<Millis> {
         let known = self.servers.get(&id).filter(|server| server.started_ms == started_ms);
         let before = known.map(|server| server.listing.started);
@@ -137,7 +143,8 @@
         before.filter(|before| !is_revised(*before, estimate)).unwrap_or(estimate)
     }
 
-    /// Takes in that an upstream wants nothing new; `None` for one that is not known.
+    /// Marks a server as draining, so that it gets no new requests. Returns `None` if the host name is
+    /// unknown.
     fn drain_server(&mut self, name: &str) -> Option<Listing> {
         let id = *self.upstream_ids.get(name)?;
         let server = self.servers.get_mut(&id)?;
@@ -149,7 +156,8 @@
         Some(server.listing.clone())
     }
 
-    /// Forgets upstreams that are gone, so that names do not pile up.
+    /// Forgets servers that are neither serving nor busy with an attempt, so that the tables do not grow
+    /// without bound.
     fn forget_departed_servers(&mut self) {
         let busy: HashSet<UpstreamId> =
             self.in_flight_attempts.values().map(|attempt| attempt.upstream).collect();
@@ -166,12 +174,13 @@
 }
 
 impl Server {
-    /// The name of its zone, where rules may ask for it.
+    /// Returns the name of the server's zone. `None` if no cluster logic runs, since only residency rules
+    /// need it.
     fn zone_name(&self) -> Option<Arc<str>> {
         self.entry.as_ref().map(|entry| Arc::from(entry.zone.as_str()))
     }
 
-    /// What a transport must know of it.
+    /// Returns what the transport needs to know about the server.
     fn transport_info(&self) -> Peer {
         let serving = self.listing.lifecycle == Lifecycle::Serving;
         Peer {
--- a/crates/node/src/engine/mod.rs
+++ b/crates/node/src/engine/mod.rs
@@ -1,7 +1,11 @@
-//! The engine: owns the module, turns what happens into its events and carries out its actions in order.
+//! The engine: the event loop that drives the balancer.
 //!
-//! It names three seams and knows nothing of what lies behind them: the [`Intake`] that fronts hand requests to,
-//! the [`Transport`] that carries attempts, and the [`Roster`] that lists come from.
+//! The engine owns the [`Balancer`], which decides where requests go but performs no I/O. The engine
+//! translates what happens in the process into balancer events and executes the resulting actions in order.
+//!
+//! Three interfaces separate the engine from the rest of the process. It does not depend on their
+//! implementations: listeners submit requests to the [`Intake`], a [`Transport`] carries attempts to
+//! upstreams, and a [`Roster`] supplies the list of upstreams.
 
 mod attempts;
 mod cluster;
@@ -60,85 +64,95 @@
 pub(crate) use ways::Seen;
 pub use ways::{Inbox, Orders, Ways};
 
-/// The module is told this much less than the client waits: its last word must reach the client in time.
+/// The balancer's deadline for a request is this much earlier than the client's, so that the final answer
+/// still reaches the client in time.
 const ANSWER_MARGIN: Duration = Duration::from_millis(8);
-/// What the module has not ended by then, the engine does.
+/// If the balancer has not answered a request this long before the client's deadline, the engine fails the
+/// request itself.
 const BACKSTOP_MARGIN: Duration = Duration::from_millis(4);
-/// How often a line tells what was done.
+/// How often the counters are logged.
 const LOG_INTERVAL: Duration = Duration::from_secs(5);
-/// How often idle connections are looked through.
+/// How often the transport closes idle connections and the capture is written to its files.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// Something that the engine is told.
+
+/// A message to the engine's event loop.
 enum EngineEvent {
-    /// A request came in.
+    /// A client sent a request.
     RequestArrived(Box<Arrival>),
-    /// Its client went away.
+    /// The client of this request disconnected before its answer.
     ClientDisconnected(RequestId),
     /// An attempt ended.
     AttemptEnded { flight: Flight, end: End },
-    /// A probe ended, with what came back.
+    /// A load poll ended. `answer` is `None` if the server did not answer.
     ProbeEnded { upstream: UpstreamId, answer: Option<Answer> },
-    /// The roster told something.
+    /// The discovery source delivered a list or a change to it.
     ListReceived(List),
-    /// The list comes from elsewhere now.
+    /// A new discovery source replaces the current one.
     DiscoverySourceReplaced(Box<dyn Roster>),
-    /// Other routes are in force from now on.
+    /// A new route table replaces the current one.
     RoutesChanged(Table),
-    /// The operators want to see the capture.
+    /// The operator requested a dump of the capture to the log.
     DumpCapture,
-    /// Datagrams of other members wait.
+    /// Datagrams from other cluster members are waiting in the mailbox.
     DatagramsReceived,
-    /// Discovery is in reach or out of it.
+    /// Discovery became reachable or unreachable.
     DiscoveryReachability(Reach),
-    /// Other rules of residency are in force from now on.
+    /// New residency rules replace the current ones.
     RulesChanged(Option<Rules>),
 }
 
-/// A send that has not ended.
+/// An attempt that has not ended yet.
 struct InFlightAttempt {
     upstream: UpstreamId,
     forward: Arc<Forward>,
     started_at: Instant,
-    /// Dropped or used to give it up; `None` once that was done.
+    /// Dropping this sender cancels the attempt. `None` once the attempt is cancelled.
     cancel: Option<oneshot::Sender<()>>,
 }
 
-/// A request without its final answer.
+/// A request that has not received its final answer.
 struct OpenRequest {
     class: ClassId,
     tenant: TenantId,
     forward: Arc<Forward>,
     log_prefix: Arc<str>,
     reply: oneshot::Sender<Final>,
+    /// The number of attempts started so far.
     attempts: u32,
+    /// When the last byte of the request was read.
     received_at: Instant,
+    /// The balancer's deadline for the final answer.
     deadline: Instant,
     backstop_timer: (Instant, u64),
-    /// How its attempts have ended, for the log.
+    /// How the unsuccessful attempts ended, for the log.
     attempt_log: String,
-    /// Lives as long as this does, for transports to see.
+    /// Dropped together with this struct. Transports hold a weak reference that shows them whether the
+    /// request still needs an answer.
     answer_owed: Arc<()>,
     /// Alive while the client's own task waits.
     client: Weak<dyn Presence>,
-    /// Within which its attempts are written, for a class whose repeats upstreams discard by key.
+    /// The time window in which attempts may be written, for a class whose repeats upstreams discard by
+    /// idempotency key.
     key_window: Option<Arc<KeyWindow>>,
-    /// What its attempts have learnt of connections that rested.
+    /// Limits how long a connection may have been idle to be reused. All attempts of the request share it.
     rest_limit: RestLimit,
 }
 
-/// An upstream that the roster named.
+/// A server known from discovery or from other cluster members.
 struct Server {
     host: Arc<str>,
     listing: Listing,
     address: SocketAddr,
+    /// When the server last started, in Unix milliseconds, as listed by discovery.
     started_ms: f64,
+    /// Incremented when the address or the start time changes.
     incarnation: u64,
-    /// As the roster told it, where a fleet wants to know.
+    /// The latest list entry. Kept only when cluster logic runs, which needs it.
     entry: Option<Box<Entry>>,
 }
 
 impl Server {
-    /// It, as the capture names it.
+    /// Returns the server's id, name and address as the capture records them.
     fn capture_name(&self) -> Named<'static> {
         Named {
             upstream: self.listing.upstream,
@@ -148,15 +162,20 @@
     }
 }
 
+/// What to do when a timer fires.
 enum Timer {
+    /// Return this token to the balancer, which requested the timer.
     BalancerWake(u64),
+    /// Fail the request if the balancer has not answered it.
     Backstop(RequestId),
+    /// Close idle connections and save the capture.
     Sweep,
     LogCounters,
+    /// Wake the cluster logic, which requested the timer.
     ClusterWake,
 }
 
-/// The engine.
+/// The event loop's state: the balancer, the open requests and their attempts, and the known servers.
 pub struct Engine {
     balancer: Balancer,
     settings: SettingsObject,
@@ -166,44 +185,54 @@
     inbox: mpsc::UnboundedReceiver<EngineEvent>,
     transport: Box<dyn Transport>,
     discovery_source: Box<dyn Roster>,
-    /// Where a roster that is followed anew goes on from.
+    /// The list version from which a new subscription to a discovery source resumes.
     resume_from: u64,
+    /// The current subscription to the discovery source.
     following: Option<Following>,
+    /// Time 0 of the balancer's clock.
     epoch: Instant,
-    /// How old servers are, by what discovery tells.
+    /// Derives the age of servers from what discovery reports.
     server_ages: ServerAges,
     open_requests: HashMap<RequestId, OpenRequest>,
     in_flight_attempts: BTreeMap<(RequestId, AttemptNo), InFlightAttempt>,
+    /// The balancer's id of each server, by host name.
     upstream_ids: HashMap<String, UpstreamId>,
     servers: BTreeMap<UpstreamId, Server>,
     last_upstream_id: u64,
+    /// Pending timers by due time. The id keeps timers with the same due time apart.
     timers: BTreeMap<(Instant, u64), Timer>,
     last_timer_id: u64,
+    /// An empty buffer for the balancer's actions, reused between events.
     actions: Vec<Action>,
+    /// Counts since the last log line.
     counters: Counters,
     capture: Option<Capture>,
-    /// The fleet that it acts with, if it does.
+    /// Cluster membership and residency rules, if either is configured.
     cluster: Option<ClusterHandle>,
 }
 
-/// What lies behind an engine's seams.
+/// The implementations and resources that an engine is created with.
 pub struct EngineDependencies {
-    /// Where requests come in.
+    /// Where listeners submit requests.
     pub intake: Arc<Intake>,
-    /// What the engine is told.
+    /// Where the engine receives its events.
     pub inbox: Inbox,
-    /// How upstreams are asked.
+    /// Carries attempts and load polls to upstreams.
     pub transport: Box<dyn Transport>,
-    /// Where the list comes from.
+    /// Supplies the list of upstreams.
     pub discovery_source: Box<dyn Roster>,
-    /// What it acts with a fleet by, if it does.
+    /// Cluster membership and residency rules, if either is configured.
     pub cluster: Option<ClusterSetup>,
-    /// The machine's wall clock, which is not read again.
+    /// One reading of the machine's wall clock. The engine does not read the wall clock again.
     pub wall_clock: WallClock,
 }
 
 impl Engine {
-    /// An engine that knows the settings and nothing else.
+    /// Creates an engine that does not know any servers yet.
+    ///
+    /// # Errors
+    ///
+    /// The capture or the cluster logic cannot be started.
     pub fn new(
         settings: SettingsObject,
         seed: u64,
@@ -261,7 +290,8 @@
         })
     }
 
-    /// Runs for good.
+    /// Runs the event loop until its task is aborted. `known` is the list of upstreams held before a restart,
+    /// if there is one.
     pub async fn run(mut self, known: Option<List>) {
         self.wake_cluster();
         self.apply_list(known.unwrap_or_default(), true);
@@ -283,16 +313,17 @@
         }
     }
 
-    /// Follows the roster from here on.
+    /// Subscribes to the discovery source, in place of the current subscription.
     fn follow_discovery(&mut self, start: Start) {
         self.following = Some(self.discovery_source.follow(self.resume_from, start));
     }
 
-    /// The module's clock.
+    /// Converts an instant to the balancer's clock.
     fn to_millis(&self, at: Instant) -> Millis {
         at.saturating_duration_since(self.epoch).as_secs_f64() * 1e3
     }
 
+    /// Schedules a timer and returns its key in `timers`.
     fn set_timer(&mut self, at: Instant, timer: Timer) -> (Instant, u64) {
         self.last_timer_id += 1;
         let key = (at, self.last_timer_id);
@@ -307,7 +338,7 @@
             match entry.remove() {
                 Timer::BalancerWake(token) => self.notify_balancer(Event::Woke(token)),
                 Timer::Backstop(request) => {
-                    // The module answers in time unless it is at fault or the process was held up.
+                    // The balancer answers in time unless it has a bug or the process was suspended.
                     let forward = self.open_requests.get(&request).map(|open| open.forward.clone());
                     self.counters.overdue += u32::from(forward.is_some());
                     self.answer_request(request, Final::Failed);
@@ -327,7 +358,7 @@
         }
     }
 
-    /// Tells what was done since the last such line.
+    /// Logs the counts since the previous such line. Without cluster logic, an idle period is not logged.
     fn log_counters(&mut self) {
         let counters = std::mem::take(&mut self.counters);
         let connections = self.transport.counts();
@@ -342,12 +373,13 @@
         }
     }
 
-    /// Hands an event to the module and does what it says.
+    /// Passes an event to the balancer and executes the actions that it returns.
     fn notify_balancer(&mut self, event: Event) {
         self.notify_balancer_about(event, None, None);
     }
 
-    /// The same for an event about a request; `why` is for the capture.
+    /// Like [`notify_balancer`](Engine::notify_balancer), for an event about `request`. The capture records
+    /// the request and the reason `why`.
     fn notify_balancer_about(&mut self, event: Event, request: Option<&Forward>, why: Option<&'static str>) {
         let now = self.to_millis(Instant::now());
         let mut actions = std::mem::take(&mut self.actions);
@@ -365,7 +397,7 @@
         self.actions = actions;
     }
 
-    /// Adds an event to the capture.
+    /// Records an event and the resulting actions in the capture, if there is one.
     fn capture_event(
         &mut self,
         now: Millis,
@@ -400,6 +432,7 @@
         });
     }
 
+    /// Handles one message from the inbox.
     fn handle_event(&mut self, event: EngineEvent) {
         match event {
             EngineEvent::RequestArrived(arrival) => self.handle_request(*arrival),
@@ -438,7 +471,8 @@
         }
     }
 
-    /// Goes over to other routes.
+    /// Replaces the route table. Updates the classes and budgets of the balancer, the class names of the
+    /// cluster logic, and the capture to match.
     fn apply_routes(&mut self, table: Table) {
         let balancer = &mut self.balancer;
         let change = self.routing.change(table, balancer.classes(), |class| balancer.uses(class));
@@ -448,7 +482,7 @@
         }
         balancer.put_budgets(change.retry_budget, change.copy_budget);
         self.notify_cluster(concert::Input::Classes(self.routing.class_names()));
-        info!("routes: {} in force, {changed} classes of them new or changed", self.routing.count());
+        info!("routes: {} in effect, {changed} classes added or changed", self.routing.count());
         let now = self.to_millis(Instant::now());
         if let Some(capture) = &mut self.capture {
             let servers = &self.servers;
@@ -458,6 +492,7 @@
         }
     }
 
+    /// Registers a new request and passes it to the balancer.
     fn handle_request(&mut self, arrival: Arrival) {
         let Arrival { request, validated, reply, client } = arrival;
         let ValidatedRequest { class, tenant, received_at, time_left, log_prefix, forward } = validated;
@@ -496,12 +531,14 @@
         );
     }
 
-    /// Tells the module that a request is over without it, and ends what is out for it.
+    /// Notifies the balancer that a request ended without the balancer's answer, and cancels the attempts of
+    /// the request that are still in flight.
     fn abandon_request(&mut self, request: RequestId, forward: Option<&Forward>, why: &'static str) {
         self.notify_balancer_about(Event::Abandoned(request), forward, Some(why));
         self.cancel_attempts(request);
     }
 
+    /// Cancels all attempts of a request that are in flight.
     fn cancel_attempts(&mut self, request: RequestId) {
         let first = (request, AttemptNo(0));
         for (_, attempt) in self.in_flight_attempts.range_mut(first..=(request, AttemptNo(u32::MAX))) {
@@ -509,7 +546,8 @@
         }
     }
 
-    /// Answers a request, if it is still owed one.
+    /// Sends the final answer of a request and counts it, if the request is still open. Returns whether the
+    /// answer reached the client's task.
     fn answer_request(&mut self, request: RequestId, answer: Final) -> bool {
         let Some(open) = self.open_requests.remove(&request) else { return false };
         self.timers.remove(&open.backstop_timer);
@@ -535,10 +573,11 @@
             counts.unsent += u32::from(open.attempts == 0);
             warn!("{}", FailureReport { open: &open, answer: &answer });
         }
-        // The client may have gone in this very moment.
+        // Fails if the client disconnected just now.
         open.reply.send(answer).is_ok()
     }
 
+    /// Executes one of the balancer's actions.
     fn execute(&mut self, action: Action) {
         match action {
             Action::Send { request, upstream, timeout } => self.start_attempt(request, upstream, timeout),
@@ -567,7 +606,8 @@
     }
 }
 
-/// The line about a request that was not served. Most of them are left out under overload, and cost no words.
+/// The log line about a request that was not served. The text is built only when the line is written: under
+/// overload the log omits most of these lines.
 struct FailureReport<'a> {
     open: &'a OpenRequest,
     answer: &'a Final,
