--- a/crates/node/src/engine/attempts.rs
+++ b/crates/node/src/engine/attempts.rs
@@ -1,4 +1,4 @@
-//! Sends and probes, and what became of them.
+//! Starts attempts and load polls (probes), and handles the end of attempts.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,19 +15,22 @@
 use super::transport::{Attempt, Flight, Interest};
 use super::{Engine, InFlightAttempt};
 
-/// A probe that has not come back by then says nothing: servers answer them beside their queue.
+/// The minimum time that a probe may take. Servers answer probes without queueing them behind requests, so
+/// waiting longer would yield no information.
 const MIN_PROBE_TIMEOUT: Duration = Duration::from_millis(150);
-/// Where connections may take long to come up, so may probes: this share of that time.
+/// The fraction of the connect timeout that a probe may take, if that is longer: where connections may take
+/// long to establish, so may probes.
 const PROBE_SHARE_OF_CONNECT_TIMEOUT: f64 = 0.6;
 
-/// How long a probe may take, where a connection may take so long to come up.
+/// Returns how long a probe may take, given the connect timeout.
 fn probe_timeout(connect_timeout_ms: Millis) -> Duration {
     let share = connect_timeout_ms * PROBE_SHARE_OF_CONNECT_TIMEOUT / 1e3;
     Duration::try_from_secs_f64(share).unwrap_or_default().max(MIN_PROBE_TIMEOUT)
 }
 
 impl Engine {
-    /// The window of a new request of this class, if its repeats are discarded by key.
+    /// Creates the window for a new request's attempts, if upstreams discard repeats of this class by
+    /// idempotency key.
     pub(super) fn key_window(&self, class: ClassId) -> Option<Arc<KeyWindow>> {
         match self.balancer.classes().get(class.0)?.effect {
             Effect::ByKey { window, .. } => {
@@ -38,7 +41,8 @@
         }
     }
 
-    /// Sends a request once more.
+    /// Starts an attempt of an open request on this upstream. A zero timeout means no limit but the request's
+    /// deadline.
     pub(super) fn start_attempt(&mut self, request: RequestId, upstream: UpstreamId, timeout: Millis) {
         let now = Instant::now();
         let Some(open) = self.open_requests.get_mut(&request) else { return };
@@ -51,8 +55,9 @@
         };
         let flight = Flight { request, attempt, upstream, until };
         let forward = open.forward.clone();
-        // A client that has gone is known here before the engine comes to its message: that counts the request,
-        // and the transport ends the attempt unsent.
+        // The attempt sees that the client has disconnected before the engine handles the event about it. The
+        // transport then ends the attempt without sending it. The engine counts the request when it handles
+        // the event.
         let interest = Interest::until_answered(&open.answer_owed).while_client_holds(open.client.clone());
         let key_window = open.key_window.clone();
         let (cancel, given_up) = oneshot::channel();
@@ -64,7 +69,7 @@
         self.transport.attempt(Attempt { flight, forward, given_up, interest, key_window, pass, rest_limit });
     }
 
-    /// An attempt has ended.
+    /// Handles the end of an attempt. The first successful answer is passed on to the client.
     pub(super) fn finish_attempt(&mut self, flight: Flight, end: End) {
         let key = (flight.request, flight.attempt);
         let mut reason = None;
@@ -95,7 +100,8 @@
             let text = answer.headers.get("x-server-load").filter(|_| self.settings.reports_in_answers())?;
             report_from_text(&self.report_columns, text.to_str().ok()?)
         });
-        // The first answer goes to the client by itself and ends the request.
+        // The engine passes the first successful answer on to the client by itself, without an action of the
+        // balancer. That ends the request.
         let mut closed = !self.open_requests.contains_key(&flight.request);
         if let (Outcome::Ok, Some(answer)) = (outcome, answer) {
             self.answer_request(flight.request, Final::Served(client_headers(&answer.headers), answer.body));
@@ -113,7 +119,7 @@
         self.notify_balancer_about(Event::Finished(finished), Some(&in_flight.forward), None);
     }
 
-    /// Notes an attempt that did not serve its request with it.
+    /// Adds an unsuccessful attempt to the log text of its request.
     fn append_to_attempt_log(
         &mut self,
         flight: Flight,
@@ -129,7 +135,7 @@
         open.attempt_log += &format!(" {host} {}{status} {latency:.0} ms{reason}", outcome_name(outcome));
     }
 
-    /// Asks an upstream for its load.
+    /// Polls an upstream for its load.
     pub(super) fn start_probe(&mut self, upstream: UpstreamId) {
         self.counters.probes_sent += u32::from(self.servers.contains_key(&upstream));
         let until = Instant::now() + probe_timeout(self.settings.connect_timeout_ms());
@@ -137,7 +143,7 @@
     }
 }
 
-/// An upstream's headers as they go on to the client.
+/// Returns the headers of an upstream's answer that are forwarded to the client.
 fn client_headers(headers: &HeaderMap) -> HeaderMap {
     let mut forwarded = end_to_end(headers);
     forwarded.remove("x-server-load");
--- a/crates/node/src/engine/counters.rs
+++ b/crates/node/src/engine/counters.rs
@@ -1,5 +1,5 @@
-//! What the sidecar has done since the last line about it. One line every few seconds tells a bad stretch from
-//! a good one without a line a request.
+//! Counts of requests, attempts and probes since the last log line. One summary line every few seconds
+//! shows a bad period without logging every request.
 
 use std::fmt::{Display, Formatter, Result};
 
@@ -7,7 +7,7 @@
 
 use super::transport::Counts;
 
-/// The outcomes of attempts in the order in which they are counted.
+/// The outcomes of attempts and their names in the log, in the order of `Counters::attempt_outcomes`.
 const OUTCOME_NAMES: [(Outcome, &str); 9] = [
     (Outcome::Ok, "ok"),
     (Outcome::Error, "error"),
@@ -20,38 +20,40 @@
     (Outcome::LocalFailure, "local_failure"),
 ];
 
-/// The name of an outcome in the log.
+/// Returns the name of an outcome in the log.
 pub fn outcome_name(outcome: Outcome) -> &'static str {
     OUTCOME_NAMES.iter().find(|(known, _)| *known == outcome).map_or("?", |(_, name)| name)
 }
 
-/// So many classes are told apart in a line, those with most arrivals first: operators may have hundreds of routes.
+/// The maximum number of classes that a log line lists one by one, those with the most requests first.
+/// Operators may have hundreds of routes, and each adds classes.
 const MAX_CLASSES_LOGGED: usize = 8;
 
-/// What became of requests.
+/// Counts of requests by how they ended.
 #[derive(Default, Clone, Copy)]
 pub struct RequestCounts {
-    /// Came in.
+    /// Requests received.
     pub arrived: u32,
-    /// Answered with an upstream's answer.
+    /// Requests served with an upstream's answer.
     pub served: u32,
-    /// Of those, after the time within which the answer earns its worth.
+    /// Served requests that missed the latency objective of their class.
     pub late: u32,
-    /// Refused.
+    /// Requests refused for any reason.
     pub refused: u32,
-    /// Of those, since no server serves where they may go, and since the fleet sheds their class.
+    /// Refused requests for which no server was serving where residency rules permit them to go.
     pub outside_residency: u32,
-    /// Likewise.
+    /// Refused requests whose class the cluster was shedding.
     pub shed: u32,
-    /// Not served, and never sent to an upstream.
+    /// Requests refused or failed without any attempt.
     pub unsent: u32,
-    /// Failed.
+    /// Requests that failed.
     pub failed: u32,
-    /// Given up by their clients.
+    /// Requests whose client disconnected before the answer.
     pub left: u32,
 }
 
 impl RequestCounts {
+    /// Whether any request was received or ended.
     fn is_nonzero(&self) -> bool {
         self.arrived + self.served + self.refused + self.failed + self.left > 0
     }
@@ -74,7 +76,7 @@
         let RequestCounts { arrived, served, late, refused, outside_residency, shed, unsent, failed, left } =
             self;
         write!(f, "arrived={arrived} served={served} late={late} refused={refused}")?;
-        // Without rules and without a fleet there are none of these, and no word on them.
+        // These counts can be nonzero only with residency rules or a cluster, so other logs omit them.
         if outside_residency + shed > 0 {
             write!(f, " of_them_outside={outside_residency} of_them_shed={shed}")?;
         }
@@ -83,24 +85,27 @@
     }
 }
 
-/// Counts since the last line.
+/// Counts since the last log line.
 #[derive(Default)]
 pub struct Counters {
-    /// Requests, by class: one that is hardly served must show, though all together are served well.
+    /// Requests by class. The total alone could hide a class that is mostly not served.
     classes: Vec<RequestCounts>,
-    /// Ended by the engine because the module had not.
+    /// Requests that the engine failed because the balancer had not answered them in time.
     pub overdue: u32,
-    /// Probes sent.
+    /// Probes sent to known servers.
     pub probes_sent: u32,
-    /// Probes that got no answer in time, one that is not 200, and one without a report that can be read.
+    /// Probes without an answer in time.
     probes_unanswered: u32,
+    /// Probes answered with a status other than 200.
     probes_declined: u32,
+    /// Probes answered with 200 but without a load report that can be parsed.
     probes_unreadable: u32,
+    /// Ended attempts by outcome, in the order of `OUTCOME_NAMES`.
     attempt_outcomes: [u32; OUTCOME_NAMES.len()],
 }
 
 impl Counters {
-    /// The tally of a class.
+    /// Returns the counts of a class.
     pub fn for_class(&mut self, class: ClassId) -> &mut RequestCounts {
         if self.classes.len() <= class.0 {
             self.classes.resize(class.0 + 1, RequestCounts::default());
@@ -108,14 +113,14 @@
         &mut self.classes[class.0]
     }
 
-    /// Counts how an attempt ended.
+    /// Counts an attempt by its outcome.
     pub fn count_attempt(&mut self, outcome: Outcome) {
         if let Some(index) = OUTCOME_NAMES.iter().position(|(known, _)| *known == outcome) {
             self.attempt_outcomes[index] += 1;
         }
     }
 
-    /// Counts how a probe ended: with what status, and whether it brought a report.
+    /// Counts a probe by the status of its answer, if there was one, and by whether it brought a load report.
     pub fn count_probe(&mut self, status: Option<u16>, has_report: bool) {
         match status {
             None => self.probes_unanswered += 1,
@@ -124,7 +129,7 @@
         }
     }
 
-    /// Whether there is anything to tell.
+    /// Whether there is nothing to log.
     pub fn is_idle(&self) -> bool {
         self.classes.is_empty()
             && self.probes_sent == 0
@@ -132,11 +137,11 @@
     }
 }
 
-/// Counts together with those of the transport and the names of classes.
+/// Displays the counts as a log line, with the transport's counts and the names of the classes.
 pub struct LogLine<'a>(&'a Counters, &'a Counts, &'a [String]);
 
 impl Counters {
-    /// The line about these counts.
+    /// Returns the log line for these counts.
     pub fn log_line<'a>(&'a self, connections: &'a Counts, names: &'a [String]) -> LogLine<'a> {
         LogLine(self, connections, names)
     }
@@ -150,7 +155,7 @@
         write!(f, "requests {total} overdue={}", counters.overdue)?;
         let mut classes: Vec<_> =
             counters.classes.iter().zip(*names).filter(|(counts, _)| counts.is_nonzero()).collect();
-        // Where there is one, all have been told.
+        // A single class would only repeat the total.
         if classes.len() > 1 {
             classes.sort_by_key(|(counts, _)| std::cmp::Reverse(counts.arrived));
             for (counts, name) in classes.iter().take(MAX_CLASSES_LOGGED) {
--- a/crates/node/src/engine/counters/tests.rs
+++ b/crates/node/src/engine/counters/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn a_line_tells_the_counts_by_name() {
+fn the_log_line_shows_counts_by_name() {
     let mut counters = Counters::default();
     assert!(counters.is_idle());
     *counters.for_class(ClassId(0)) = RequestCounts { arrived: 3, refused: 1, ..RequestCounts::default() };
@@ -15,13 +15,13 @@
     let line = counters.log_line(&connections, &names(1)).to_string();
     assert!(line.contains("arrived=3 ") && line.contains("refused=1 "), "{line}");
     assert!(line.contains("attempts reset=2;") && line.contains("reused=7 "), "{line}");
-    assert!(!line.contains("class-0"), "a single class is all there is: {line}");
+    assert!(!line.contains("class-0"), "a single class is not listed beside the total: {line}");
     assert!(!counters.is_idle());
 }
 
-/// Guards against a class that is hardly served while the sum looks well.
+/// Guards against a total that looks healthy and hides a class that is mostly not served.
 #[test]
-fn classes_are_told_apart() {
+fn the_log_line_lists_classes_one_by_one() {
     let mut counters = Counters::default();
     *counters.for_class(ClassId(2)) =
         RequestCounts { arrived: 9, served: 9, late: 2, ..RequestCounts::default() };
@@ -34,9 +34,9 @@
     assert!(!line.contains("class-1"), "{line}");
 }
 
-/// Guards against lines as long as the operators' file.
+/// Guards against log lines that grow with the number of routes in the operators' file.
 #[test]
-fn of_hundreds_of_classes_the_busiest_are_told() {
+fn the_log_line_lists_only_the_busiest_of_hundreds_of_classes() {
     let mut counters = Counters::default();
     (0..300).for_each(|class| counters.for_class(ClassId(class)).arrived = 1 + class as u32);
     let line = counters.log_line(&Counts::default(), &names(300)).to_string();
--- a/crates/node/src/engine/intake.rs
+++ b/crates/node/src/engine/intake.rs
@@ -1,5 +1,5 @@
-//! The seam towards fronts: a front hands each whole, checked request to the [`Intake`] and is given one final
-//! answer for it, whatever becomes of the request.
+//! The interface between listeners and the engine. A listener submits each complete, validated request to the
+//! [`Intake`] and receives exactly one final answer for it.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Weak};
@@ -16,39 +16,40 @@
 use super::message::{Final, Forward};
 use super::transport::Presence;
 
-/// What class and tenant names stand for.
+/// The class and tenant names that requests may carry. The index of a name is the id.
 pub struct RequestNames {
-    /// By class id.
+    /// The names and effects of classes, by class id.
     pub classes: Vec<(String, Effect)>,
-    /// By tenant id.
+    /// The names of tenants, by tenant id.
     pub tenants: Vec<String>,
 }
 
 impl RequestNames {
-    /// The class that a path names.
+    /// Returns the class that the first segment of the path names.
     pub fn class_for_uri(&self, uri: &Uri) -> Option<usize> {
         let first = segments(uri.path()).next()?;
         self.classes.iter().position(|(name, _)| name == first)
     }
 }
 
-/// A request that a front has read whole and found sound.
+/// A request that a listener has read completely and validated.
 pub struct ValidatedRequest {
-    /// Its class.
+    /// The class that the request names.
     pub class: ClassId,
-    /// Its tenant.
+    /// The tenant that the request names.
     pub tenant: TenantId,
-    /// When its last byte was read.
+    /// When the last byte of the request was read.
     pub received_at: Instant,
-    /// How long its client waits from then on.
+    /// How much longer the client waits, counted from `received_at`.
     pub time_left: Duration,
-    /// Who sent it: the beginning of each log line about it, empty or with a space at its end.
+    /// The beginning of each log line about the request, which identifies the client. Empty, or ends with a
+    /// space.
     pub log_prefix: Arc<str>,
-    /// What goes on to upstreams.
+    /// The request as it is forwarded to upstreams.
     pub forward: Forward,
 }
 
-/// The same with what the engine needs to answer it.
+/// A validated request together with what the engine needs to answer it.
 pub(super) struct Arrival {
     pub request: RequestId,
     pub validated: ValidatedRequest,
@@ -57,15 +58,16 @@
     pub client: Weak<dyn Presence>,
 }
 
-/// Where all fronts hand in their requests. Counters only: the engine alone owns state.
+/// Accepts the requests of all listeners. It holds only counters and flags: the engine alone owns the state
+/// of requests.
 pub struct Intake {
-    /// Names in requests.
+    /// The names by which listeners validate requests.
     pub names: RequestNames,
-    /// Open client connections, over all fronts: each is a task.
+    /// Open client connections of all listeners. Each connection is a task.
     pub connections: TaskTracker,
-    /// Whether there is a list of upstreams.
+    /// Whether a list of upstreams has been received.
     ready: AtomicBool,
-    /// Ids for the module: those of clients come from outside and might come twice.
+    /// The next request id for the balancer. Clients choose their own ids, which need not be unique.
     next_request_id: AtomicU64,
     events: mpsc::UnboundedSender<EngineEvent>,
 }
@@ -76,23 +78,27 @@
             names,
             connections: TaskTracker::new(),
             ready: AtomicBool::new(false),
-            // The module keeps timer 0 for itself and halves request ids into timers.
+            // The balancer reserves timer token 0 and derives two timer tokens from each request id.
             next_request_id: AtomicU64::new(2),
             events,
         }
     }
 
-    /// Whether requests can be served: whether a list of upstreams has come.
+    /// Whether requests can be served, that is, whether a list of upstreams has been received.
     pub fn is_ready(&self) -> bool {
         self.ready.load(Ordering::Relaxed)
     }
 
+    /// Marks the intake as ready if `has_list` is true. A ready intake stays ready.
     pub(super) fn update_ready(&self, has_list: bool) {
         self.ready.fetch_or(has_list, Ordering::Relaxed);
     }
 
-    /// Hands a request in and waits for its one final answer. Who drops this before has left: the engine hears of
-    /// it and gives the request up. `client` is asked before each first byte whether it is there.
+    /// Submits a request and waits for its final answer.
+    ///
+    /// Dropping the returned future before the answer means that the client has disconnected: the engine is
+    /// notified and gives the request up. Transports check `client` for a disconnect before they write the
+    /// first byte of an attempt.
     pub async fn submit(&self, validated: ValidatedRequest, client: impl Presence + 'static) -> Final {
         let request = RequestId(self.next_request_id.fetch_add(1, Ordering::Relaxed));
         let (reply, answer) = oneshot::channel();
@@ -103,17 +109,18 @@
         let _ = self.events.send(EngineEvent::RequestArrived(Box::new(arrival)));
         let answer = answer.await;
         guard.answered = true;
-        // An engine that has ended answers nothing more, and promises nothing.
+        // The engine has stopped, so nothing is known about what became of the request.
         answer.unwrap_or(Final::Failed)
     }
 }
 
-/// Tells the engine when the client goes away before its answer.
+/// Notifies the engine when it is dropped before the answer, because the client has disconnected.
 struct DisconnectGuard<'a> {
     request: RequestId,
     intake: &'a Intake,
     answered: bool,
-    /// Lets attempts see that the client has gone before the engine has heard of it.
+    /// Kept alive while the client waits, so that attempts can see a disconnect before the engine is
+    /// notified.
     _presence: Arc<dyn Presence>,
 }
 
