--- a/crates/harelock/src/fleet.rs
+++ b/crates/harelock/src/fleet.rs
@@ -4,7 +4,7 @@
 use anyhow::{Result, anyhow};
 use listclock::Pace;
 use node::config::Config;
-use node::engine::{ClusterSetup, ClusterStatus, Members, News, Orders};
+use node::engine::{ClusterSetup, ClusterStatus, DatagramSender, DiscoveryEvents, EngineControl};
 use node::operator::{Facts, MEMBER, Operator, Peers};
 use node::peers::Datagrams;
 use residency::Rules;
@@ -50,12 +50,12 @@
     }
 
     /// News for a roster that is asked as the fleet decides.
-    pub fn news(&self, news: &News) -> News {
-        news.of_fleet(self.pace.subscribe())
+    pub fn news(&self, news: &DiscoveryEvents) -> DiscoveryEvents {
+        news.with_pace(self.pace.subscribe())
     }
 
     /// Opens the socket and hands all over to an engine.
-    pub fn open(self, config: &Config, orders: &Orders, rules: Option<Rules>) -> Result<ClusterSetup> {
+    pub fn open(self, config: &Config, orders: &EngineControl, rules: Option<Rules>) -> Result<ClusterSetup> {
         let Parts { peers, pace, standing } = self;
         let me = environment();
         let member = match peers {
@@ -69,7 +69,7 @@
                 let datagrams = Datagrams::open(peers.bind(me.as_deref())?, others, mailbox.clone())?;
                 let name = told.members.get(usize::from(told.me.0)).map_or("?", |member| &member.name);
                 info!("peers: {name} on {}, one of {}", datagrams.address(), told.members.len());
-                let members: Box<dyn Members> = Box::new(datagrams);
+                let members: Box<dyn DatagramSender> = Box::new(datagrams);
                 Some((told, members, mailbox))
             }
         };
--- a/crates/harelock/src/lib.rs
+++ b/crates/harelock/src/lib.rs
@@ -24,7 +24,9 @@
 use tracing::{error, info};
 
 use node::config::Config;
-use node::engine::{Engine, EngineDependencies, News, Orders, RequestNames, WallClock, Ways};
+use node::engine::{
+    DiscoveryEvents, Engine, EngineChannels, EngineControl, EngineDependencies, RequestNames, WallClock,
+};
 use node::figures::Figures;
 use node::fronts::Phase;
 use node::fronts::address_lists::AddressLists;
@@ -160,12 +162,14 @@
     };
     let lists = operator.address_lists.take().map(AddressLists::new);
     let names = RequestNames { classes: config.settings.classes(), tenants: config.settings.tenant_names() };
-    let Ways { intake, reports, news, orders, inbox } = Ways::new(names);
-    let news = parts.as_ref().map(|parts| parts.news(&news)).unwrap_or(news);
+    let EngineChannels { intake, transport_events, discovery_events, control, inbox } =
+        EngineChannels::new(names);
+    let discovery_events =
+        parts.as_ref().map(|parts| parts.news(&discovery_events)).unwrap_or(discovery_events);
     let front = Arc::new(Front::new(intake.clone(), phases, lists, figures.clone()));
     let upstreams = http1::Settings::new(&config.settings, config.limits.upstreams());
-    let transport = Box::new(Http1::new(upstreams, system_calls.clone(), reports));
-    let roster = Box::new(source(&config, &system_calls, news.clone()));
+    let transport = Box::new(Http1::new(upstreams, system_calls.clone(), transport_events));
+    let roster = Box::new(source(&config, &system_calls, discovery_events.clone()));
     let capacity = Capacity {
         connections: config.limits.clients(),
         shortest_deadline: Duration::from_secs_f64(config.settings.shortest_deadline_ms() / 1e3),
@@ -176,13 +180,20 @@
     let facts = Facts::new(&config.settings);
     let rules = fleet::rules(&operator, &facts, &platform, &table)?;
     let at_start = AtStart { peers: operator.peers.clone(), acts: parts.is_some() };
-    let fleet = operator.blame(parts.map(|parts| parts.open(&config, &orders, rules)).transpose())?;
+    let fleet = operator.blame(parts.map(|parts| parts.open(&config, &control, rules)).transpose())?;
     let wall_clock = WallClock::read();
     let surroundings =
         EngineDependencies { intake, inbox, transport, discovery_source: roster, cluster: fleet, wall_clock };
     let asked = Arc::new(Notify::new());
-    let reread =
-        Reread { orders: orders.clone(), news, system_calls, operator: file, platform, facts, at_start };
+    let reread = Reread {
+        control: control.clone(),
+        discovery_events,
+        system_calls,
+        operator: file,
+        platform,
+        facts,
+        at_start,
+    };
     tokio::spawn(reread.run(asked.clone()));
     let engine = Engine::new(config.settings, seed, table, surroundings, operator.capture.as_ref());
     let mut engine = tokio::spawn(operator.blame(engine)?.run(known));
@@ -193,7 +204,7 @@
         tokio::select! {
             signal = signals.next() => match signal {
                 Signal::SIGHUP => asked.notify_one(),
-                Signal::SIGUSR1 => orders.dump(),
+                Signal::SIGUSR1 => control.dump_capture(),
                 signal => break info!("{signal}: finishing what is held"),
             },
             // It never ends by itself. Without it nothing is answered: better to be started anew.
@@ -218,7 +229,7 @@
 }
 
 /// Discovery, as a configuration has it.
-fn source(config: &Config, system_calls: &Arc<dyn SystemCalls>, news: News) -> discovery::Source {
+fn source(config: &Config, system_calls: &Arc<dyn SystemCalls>, news: DiscoveryEvents) -> discovery::Source {
     discovery::Source {
         address: config.discovery,
         must_ask_in: config.settings.must_ask_in(),
@@ -245,8 +256,8 @@
 
 /// What SIGHUP reads again, and whom it tells.
 struct Reread {
-    orders: Orders,
-    news: News,
+    control: EngineControl,
+    discovery_events: DiscoveryEvents,
     /// What the sockets to discovery are opened with.
     system_calls: Arc<dyn SystemCalls>,
     operator: Option<PathBuf>,
@@ -274,9 +285,9 @@
     fn once(&self) {
         match self.operators() {
             Ok((table, rules)) => {
-                self.orders.reroute(table);
+                self.control.replace_routes(table);
                 if self.at_start.acts {
-                    self.orders.rule(rules);
+                    self.control.replace_residency_rules(rules);
                 }
             }
             Err(error) => {
@@ -288,7 +299,11 @@
         match Config::from_env() {
             Ok(config) => {
                 info!("SIGHUP: discovery is at {}", config.discovery);
-                self.orders.follow(Box::new(source(&config, &self.system_calls, self.news.clone())));
+                self.control.replace_discovery_source(Box::new(source(
+                    &config,
+                    &self.system_calls,
+                    self.discovery_events.clone(),
+                )));
             }
             Err(error) => info!("SIGHUP: the configuration stays as it was: {error:#}"),
         }
--- a/crates/node/src/engine/attempts.rs
+++ b/crates/node/src/engine/attempts.rs
@@ -10,9 +10,9 @@
 use tokio::time::Instant;
 
 use super::counters::outcome_name;
-use super::key_window::KeyWindow;
-use super::message::{End, Final, end_to_end};
-use super::transport::{Attempt, Flight, Interest};
+use super::idempotency_window::IdempotencyWindow;
+use super::message::{AttemptEnd, FinalAnswer, end_to_end_headers};
+use super::transport::{Attempt, AttemptInfo, Interest};
 use super::{Engine, InFlightAttempt};
 
 /// The minimum time that a probe may take. Servers answer probes without queueing them behind requests, so
@@ -31,11 +31,11 @@
 impl Engine {
     /// Creates the window for a new request's attempts, if upstreams discard repeats of this class by
     /// idempotency key.
-    pub(super) fn key_window(&self, class: ClassId) -> Option<Arc<KeyWindow>> {
+    pub(super) fn idempotency_window(&self, class: ClassId) -> Option<Arc<IdempotencyWindow>> {
         match self.balancer.classes().get(class.0)?.effect {
             Effect::ByKey { window, .. } => {
                 let length = Duration::try_from_secs_f64(window / 1e3).unwrap_or(Duration::MAX);
-                Some(Arc::new(KeyWindow::new(length)))
+                Some(Arc::new(IdempotencyWindow::new(length)))
             }
             Effect::Repeatable | Effect::Once => None,
         }
@@ -53,29 +53,38 @@
             Some(until) if !timeout.is_zero() => until.min(open.deadline),
             _ => open.deadline,
         };
-        let flight = Flight { request, attempt, upstream, until };
+        let info = AttemptInfo { request, attempt, upstream, until };
         let forward = open.forward.clone();
         // The attempt sees that the client has disconnected before the engine handles the event about it. The
         // transport then ends the attempt without sending it. The engine counts the request when it handles
         // the event.
-        let interest = Interest::until_answered(&open.answer_owed).while_client_holds(open.client.clone());
-        let key_window = open.key_window.clone();
-        let (cancel, given_up) = oneshot::channel();
+        let interest = Interest::until_answered(&open.answer_owed).while_client_waits(open.client.clone());
+        let idempotency_window = open.idempotency_window.clone();
+        let (cancel, cancelled) = oneshot::channel();
         let in_flight =
             InFlightAttempt { upstream, forward: forward.clone(), started_at: now, cancel: Some(cancel) };
         self.in_flight_attempts.insert((request, attempt), in_flight);
-        let pass = self.cluster.as_ref().map(|cluster| cluster.residency_check(open.class, open.tenant));
-        let rest_limit = open.rest_limit.clone();
-        self.transport.attempt(Attempt { flight, forward, given_up, interest, key_window, pass, rest_limit });
+        let zone_check =
+            self.cluster.as_ref().map(|cluster| cluster.residency_check(open.class, open.tenant));
+        let reuse_limit = open.reuse_limit.clone();
+        self.transport.attempt(Attempt {
+            info,
+            forward,
+            cancelled,
+            interest,
+            idempotency_window,
+            zone_check,
+            reuse_limit,
+        });
     }
 
     /// Handles the end of an attempt. The first successful answer is passed on to the client.
-    pub(super) fn finish_attempt(&mut self, flight: Flight, end: End) {
-        let key = (flight.request, flight.attempt);
+    pub(super) fn finish_attempt(&mut self, info: AttemptInfo, end: AttemptEnd) {
+        let key = (info.request, info.attempt);
         let mut reason = None;
         let (outcome, answer) = match end {
-            End::Outcome(outcome, answer) => (outcome, answer),
-            End::Broken(outcome, why) => {
+            AttemptEnd::Outcome(outcome, answer) => (outcome, answer),
+            AttemptEnd::Failed(outcome, why) => {
                 reason = Some(why);
                 (outcome, None)
             }
@@ -83,13 +92,14 @@
         let Some(in_flight) = self.in_flight_attempts.remove(&key) else { return };
         let latency = in_flight.started_at.elapsed().as_secs_f64() * 1e3;
         self.counters.count_attempt(outcome);
-        let key_window = self.open_requests.get(&flight.request).and_then(|open| open.key_window.as_ref());
-        if let Some(key_window) = key_window.filter(|_| !outcome.may_have_run()) {
-            key_window.never_ran(flight.attempt);
+        let idempotency_window =
+            self.open_requests.get(&info.request).and_then(|open| open.idempotency_window.as_ref());
+        if let Some(idempotency_window) = idempotency_window.filter(|_| !outcome.may_have_run()) {
+            idempotency_window.mark_not_executed(info.attempt);
         }
         if outcome != Outcome::Ok {
             self.append_to_attempt_log(
-                flight,
+                info,
                 outcome,
                 latency,
                 answer.as_ref().map(|a| a.status),
@@ -102,15 +112,18 @@
         });
         // The engine passes the first successful answer on to the client by itself, without an action of the
         // balancer. That ends the request.
-        let mut closed = !self.open_requests.contains_key(&flight.request);
+        let mut closed = !self.open_requests.contains_key(&info.request);
         if let (Outcome::Ok, Some(answer)) = (outcome, answer) {
-            self.answer_request(flight.request, Final::Served(client_headers(&answer.headers), answer.body));
+            self.answer_request(
+                info.request,
+                FinalAnswer::Served(client_headers(&answer.headers), answer.body),
+            );
             closed = true;
         }
         let finished = Finished {
-            request: flight.request,
-            attempt: flight.attempt,
-            upstream: flight.upstream,
+            request: info.request,
+            attempt: info.attempt,
+            upstream: info.upstream,
             outcome,
             latency,
             closed,
@@ -122,14 +135,14 @@
     /// Adds an unsuccessful attempt to the log text of its request.
     fn append_to_attempt_log(
         &mut self,
-        flight: Flight,
+        info: AttemptInfo,
         outcome: Outcome,
         latency: Millis,
         status: Option<StatusCode>,
         reason: Option<&str>,
     ) {
-        let host = self.servers.get(&flight.upstream).map_or("?", |server| &server.host);
-        let Some(open) = self.open_requests.get_mut(&flight.request) else { return };
+        let host = self.servers.get(&info.upstream).map_or("?", |server| &server.host);
+        let Some(open) = self.open_requests.get_mut(&info.request) else { return };
         let status = status.map(|status| format!(" {}", status.as_u16())).unwrap_or_default();
         let reason = reason.map(|reason| format!(" ({reason})")).unwrap_or_default();
         open.attempt_log += &format!(" {host} {}{status} {latency:.0} ms{reason}", outcome_name(outcome));
@@ -145,7 +158,7 @@
 
 /// Returns the headers of an upstream's answer that are forwarded to the client.
 fn client_headers(headers: &HeaderMap) -> HeaderMap {
-    let mut forwarded = end_to_end(headers);
+    let mut forwarded = end_to_end_headers(headers);
     forwarded.remove("x-server-load");
     forwarded
 }
--- a/crates/node/src/engine/cluster.rs
+++ b/crates/node/src/engine/cluster.rs
@@ -18,16 +18,16 @@
 use tokio::time::Instant;
 use tracing::info;
 
-use super::members::{Losses, Mailbox, Members};
-use super::roster::Entry;
-use super::transport::{Gate, Pass};
+use super::datagrams::{DatagramLosses, DatagramSender, Mailbox};
+use super::discovery_source::Entry;
+use super::transport::{ZoneCheck, ZonePolicy};
 use super::{Engine, Server, Timer};
 
 /// What an engine needs for cluster membership, for residency rules, or for both.
 pub struct ClusterSetup {
     /// This process as a cluster member: its configuration, the sender to the other members and the mailbox
     /// for their datagrams. `None` without cluster membership.
-    pub member: Option<(::peers::api::Config, Box<dyn Members>, Mailbox)>,
+    pub member: Option<(::peers::api::Config, Box<dyn DatagramSender>, Mailbox)>,
     /// Where requests may go. `None` without residency rules.
     pub rules: Option<Rules>,
     /// Publishes how often the discovery source is to be polled.
@@ -42,7 +42,7 @@
     /// The counters and state that the cluster logic reports.
     pub view: View,
     /// Counts of lost datagrams.
-    pub losses: Losses,
+    pub losses: DatagramLosses,
 }
 
 impl ClusterStatus {
@@ -76,7 +76,7 @@
         let ClusterStatus { view, losses } = self;
         let mut parts = Vec::new();
         if let Some(peers) = &view.peers {
-            let Losses { unheard, strangers, unsent, failed } = losses;
+            let DatagramLosses { unheard, strangers, unsent, failed } = losses;
             let (living, members, level) = (peers.living, peers.members, peers.level);
             let role = match peers.role {
                 Role::Alone => "alone",
@@ -104,7 +104,7 @@
 pub(super) struct ClusterHandle {
     core: Arc<Mutex<Company>>,
     /// Sends and receives datagrams. `None` without cluster membership.
-    network: Option<(Box<dyn Members>, Mailbox)>,
+    network: Option<(Box<dyn DatagramSender>, Mailbox)>,
     pace: watch::Sender<Pace>,
     status: watch::Sender<ClusterStatus>,
 }
@@ -112,8 +112,8 @@
 /// Lets transports check the residency rules, at any time and from any task.
 struct ResidencyGate(Arc<Mutex<Company>>);
 
-impl Gate for ResidencyGate {
-    fn lets(&self, class: ClassId, tenant: TenantId, zone: &str) -> bool {
+impl ZonePolicy for ResidencyGate {
+    fn allows(&self, class: ClassId, tenant: TenantId, zone: &str) -> bool {
         lock(&self.0).may_write(class, tenant, zone)
     }
 }
@@ -140,8 +140,8 @@
     }
 
     /// Returns the check that a transport makes before it writes a request of this class and tenant.
-    pub(super) fn residency_check(&self, class: ClassId, tenant: TenantId) -> Pass {
-        Pass { gate: Arc::new(ResidencyGate(self.core.clone())), class, tenant }
+    pub(super) fn residency_check(&self, class: ClassId, tenant: TenantId) -> ZoneCheck {
+        ZoneCheck { policy: Arc::new(ResidencyGate(self.core.clone())), class, tenant }
     }
 
     /// Shows the cluster logic an event that the balancer handled and the resulting actions.
--- a/crates/node/src/engine/counters.rs
+++ b/crates/node/src/engine/counters.rs
@@ -5,7 +5,7 @@
 
 use sagemast::api::{ClassId, Outcome};
 
-use super::transport::Counts;
+use super::transport::ConnectionCounts;
 
 /// The outcomes of attempts and their names in the log, in the order of `Counters::attempt_outcomes`.
 const OUTCOME_NAMES: [(Outcome, &str); 9] = [
@@ -138,11 +138,11 @@
 }
 
 /// Displays the counts as a log line, with the transport's counts and the names of the classes.
-pub struct LogLine<'a>(&'a Counters, &'a Counts, &'a [String]);
+pub struct LogLine<'a>(&'a Counters, &'a ConnectionCounts, &'a [String]);
 
 impl Counters {
     /// Returns the log line for these counts.
-    pub fn log_line<'a>(&'a self, connections: &'a Counts, names: &'a [String]) -> LogLine<'a> {
+    pub fn log_line<'a>(&'a self, connections: &'a ConnectionCounts, names: &'a [String]) -> LogLine<'a> {
         LogLine(self, connections, names)
     }
 }
@@ -172,7 +172,7 @@
         {
             write!(f, " {name}={count}")?;
         }
-        let Counts { opened, reused, stale, no_descriptor } = connections;
+        let ConnectionCounts { opened, reused, stale, no_descriptor } = connections;
         write!(
             f,
             "; connections opened={opened} reused={reused} stale={stale} no_descriptor={no_descriptor}"
--- a/crates/node/src/engine/counters/tests.rs
+++ b/crates/node/src/engine/counters/tests.rs
@@ -11,7 +11,7 @@
     *counters.for_class(ClassId(0)) = RequestCounts { arrived: 3, refused: 1, ..RequestCounts::default() };
     counters.count_attempt(Outcome::Reset);
     counters.count_attempt(Outcome::Reset);
-    let connections = Counts { reused: 7, ..Counts::default() };
+    let connections = ConnectionCounts { reused: 7, ..ConnectionCounts::default() };
     let line = counters.log_line(&connections, &names(1)).to_string();
     assert!(line.contains("arrived=3 ") && line.contains("refused=1 "), "{line}");
     assert!(line.contains("attempts reset=2;") && line.contains("reused=7 "), "{line}");
@@ -27,7 +27,7 @@
         RequestCounts { arrived: 9, served: 9, late: 2, ..RequestCounts::default() };
     *counters.for_class(ClassId(0)) =
         RequestCounts { arrived: 4, refused: 4, unsent: 3, ..RequestCounts::default() };
-    let line = counters.log_line(&Counts::default(), &names(3)).to_string();
+    let line = counters.log_line(&ConnectionCounts::default(), &names(3)).to_string();
     assert!(line.contains("requests arrived=13 served=9 late=2 refused=4 unsent=3 "), "{line}");
     assert!(line.contains("; class-2 arrived=9 served=9 late=2 refused=0 "), "{line}");
     assert!(line.contains("; class-0 arrived=4 served=0 late=0 refused=4 unsent=3 "), "{line}");
@@ -39,7 +39,7 @@
 fn the_log_line_lists_only_the_busiest_of_hundreds_of_classes() {
     let mut counters = Counters::default();
     (0..300).for_each(|class| counters.for_class(ClassId(class)).arrived = 1 + class as u32);
-    let line = counters.log_line(&Counts::default(), &names(300)).to_string();
+    let line = counters.log_line(&ConnectionCounts::default(), &names(300)).to_string();
     assert!(line.contains("; class-299 arrived=300 ") && line.contains("; 292 more classes;"), "{line}");
     assert!(!line.contains("class-291 "), "{line}");
 }
--- a/crates/node/src/engine/members.rs
+++ b/crates/node/src/engine/datagrams.rs
@@ -10,14 +10,14 @@
 use super::EngineEvent;
 
 /// Datagrams that wait for the engine at most: a second of what a member hears in the largest fleets.
-const WAITING: usize = 512;
+const MAILBOX_CAPACITY: usize = 512;
 
 /// Whom it is from or to, and what it holds.
 pub type Datagram = (SocketAddr, Vec<u8>);
 
 /// What became of datagrams since the start.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
-pub struct Losses {
+pub struct DatagramLosses {
     /// Of those that came: passed over since the engine was slower than they came.
     pub unheard: u64,
     /// Came from an address that no member has.
@@ -29,35 +29,35 @@
 }
 
 /// Carries datagrams to the other members. Nothing here waits.
-pub trait Members: Send {
+pub trait DatagramSender: Send {
     /// Sends a datagram, soon or never.
     fn send(&self, to: SocketAddr, bytes: Vec<u8>);
     /// What became of datagrams since the start.
-    fn losses(&self) -> Losses;
+    fn losses(&self) -> DatagramLosses;
 }
 
 /// Where datagrams wait for the engine.
 #[derive(Clone)]
 pub struct Mailbox {
     waiting: Arc<Mutex<VecDeque<Datagram>>>,
-    happenings: mpsc::UnboundedSender<EngineEvent>,
+    events: mpsc::UnboundedSender<EngineEvent>,
 }
 
 impl Mailbox {
-    pub(super) fn new(happenings: mpsc::UnboundedSender<EngineEvent>) -> Mailbox {
-        Mailbox { waiting: Arc::default(), happenings }
+    pub(super) fn new(events: mpsc::UnboundedSender<EngineEvent>) -> Mailbox {
+        Mailbox { waiting: Arc::default(), events }
     }
 
     /// A datagram came. Whether all that waited before it still does: the oldest makes room.
     pub fn deliver(&self, from: SocketAddr, bytes: Vec<u8>) -> bool {
         let mut waiting = self.waiting();
-        let has_room = waiting.len() < WAITING;
+        let has_room = waiting.len() < MAILBOX_CAPACITY;
         if !has_room {
             waiting.pop_front();
         }
         // The engine takes all that waits at once: it is told of the first only.
         if waiting.is_empty() {
-            let _ = self.happenings.send(EngineEvent::DatagramsReceived);
+            let _ = self.events.send(EngineEvent::DatagramsReceived);
         }
         waiting.push_back((from, bytes));
         has_room
--- a/crates/node/src/engine/roster.rs
+++ b/crates/node/src/engine/discovery_source.rs
@@ -21,15 +21,15 @@
     /// this one could not be read or nothing is held.
     pub resume_from: u64,
     /// Whether who is missing is gone.
-    pub whole: bool,
+    pub complete: bool,
     /// Its entries.
     pub entries: Vec<Entry>,
     /// Names of upstreams whose entries could not be read: what was known of them stands.
-    pub unread: Vec<String>,
+    pub unparsed: Vec<String>,
     /// Names of upstreams of which no more could be read than that they want nothing new.
-    pub leaving: Vec<String>,
+    pub draining: Vec<String>,
     /// When the source was heard last before this list came; nothing where this is the first that it told.
-    pub heard_before: Option<Instant>,
+    pub previous_contact: Option<Instant>,
     /// What the source's clock showed, where it said so with this list.
     pub source_clock: Option<ClockReading>,
 }
@@ -67,33 +67,35 @@
 }
 
 /// How a source begins to be followed.
-pub enum Start {
+pub enum SubscriptionStart {
     /// By a new process that has no list.
-    Empty,
+    NoList,
     /// By a new process that has one, maybe an old one.
-    Known,
+    HasList,
     /// In place of another, which may be heard until this one tells its first list but calls no more.
-    Moved(Option<Following>),
+    Replaces(Option<Subscription>),
 }
 
 /// A source of lists.
-pub trait Roster: Send {
+pub trait DiscoverySource: Send {
     /// Follows the source from a version on until the result is dropped. It sees to its own returns.
-    fn follow(&self, from: u64, start: Start) -> Following;
+    fn subscribe(&self, from: u64, start: SubscriptionStart) -> Subscription;
 }
 
 /// A source that is followed: it ends with its owner.
-pub struct Following {
+pub struct Subscription {
     task: JoinHandle<()>,
     retired: Arc<AtomicBool>,
 }
 
-impl Following {
+impl Subscription {
     /// Lets a task follow. It is given what tells that it is retired: it may hear out what is open, and must begin
     /// nothing new.
-    pub fn by<F: Future<Output = ()> + Send + 'static>(task: impl FnOnce(Arc<AtomicBool>) -> F) -> Following {
+    pub fn spawn<F: Future<Output = ()> + Send + 'static>(
+        task: impl FnOnce(Arc<AtomicBool>) -> F,
+    ) -> Subscription {
         let retired = Arc::new(AtomicBool::new(false));
-        Following { task: tokio::spawn(task(retired.clone())), retired }
+        Subscription { task: tokio::spawn(task(retired.clone())), retired }
     }
 
     /// Lets it begin nothing new.
@@ -102,7 +104,7 @@
     }
 }
 
-impl Drop for Following {
+impl Drop for Subscription {
     fn drop(&mut self) {
         self.task.abort();
     }
@@ -110,26 +112,26 @@
 
 /// Where a roster tells its news.
 #[derive(Clone)]
-pub struct News {
-    pub(super) happenings: mpsc::UnboundedSender<EngineEvent>,
+pub struct DiscoveryEvents {
+    pub(super) events: mpsc::UnboundedSender<EngineEvent>,
     /// How eagerly the source is asked, where a fleet decides on it.
     pub(super) pace: Option<watch::Receiver<Pace>>,
 }
 
-impl News {
+impl DiscoveryEvents {
     /// Whether nobody hears it any more.
-    pub fn is_over(&self) -> bool {
-        self.happenings.is_closed()
+    pub fn is_closed(&self) -> bool {
+        self.events.is_closed()
     }
 
     /// A list, or what changed. Whether anybody still hears it.
-    pub fn listed(&self, list: List) -> bool {
-        self.happenings.send(EngineEvent::ListReceived(list)).is_ok()
+    pub fn list_received(&self, list: List) -> bool {
+        self.events.send(EngineEvent::ListReceived(list)).is_ok()
     }
 
     /// These news for rosters whose source is asked as a fleet decides, and which tell how it answers.
-    pub fn of_fleet(&self, pace: watch::Receiver<Pace>) -> News {
-        News { pace: Some(pace), ..self.clone() }
+    pub fn with_pace(&self, pace: watch::Receiver<Pace>) -> DiscoveryEvents {
+        DiscoveryEvents { pace: Some(pace), ..self.clone() }
     }
 
     /// How eagerly the source is asked, as it changes; nothing where no fleet decides on it.
@@ -138,9 +140,9 @@
     }
 
     /// The source is in reach, or out of it. Heard only where a fleet wants to know.
-    pub fn reach(&self, reach: Reach) {
+    pub fn reachability_changed(&self, reach: Reach) {
         if self.pace.is_some() {
-            let _ = self.happenings.send(EngineEvent::DiscoveryReachability(reach));
+            let _ = self.events.send(EngineEvent::DiscoveryReachability(reach));
         }
     }
 }
--- a/crates/node/src/engine/key_window.rs
+++ b/crates/node/src/engine/idempotency_window.rs
@@ -19,20 +19,20 @@
 
 /// The window of one request.
 #[derive(Debug)]
-pub struct KeyWindow {
+pub struct IdempotencyWindow {
     length: Duration,
     /// The attempts of which a byte may have been written and that may have run, with when that began.
     begun: Mutex<Vec<(AttemptNo, Instant)>>,
 }
 
-impl KeyWindow {
+impl IdempotencyWindow {
     /// A window of this length, for a request of which nothing was written yet.
-    pub fn new(length: Duration) -> KeyWindow {
-        KeyWindow { length, begun: Mutex::default() }
+    pub fn new(length: Duration) -> IdempotencyWindow {
+        IdempotencyWindow { length, begun: Mutex::default() }
     }
 
     /// Notes that the first byte of an attempt is about to be written, if it may be.
-    pub fn begin(&self, attempt: AttemptNo, now: Instant) -> Result<(), WindowClosed> {
+    pub fn begin_write(&self, attempt: AttemptNo, now: Instant) -> Result<(), WindowClosed> {
         let mut begun = self.begun();
         check(closes(&begun, self.length, attempt), now)?;
         if begun.iter().all(|(other, _)| *other != attempt) {
@@ -42,17 +42,17 @@
     }
 
     /// Whether a further byte of an attempt may be written.
-    pub fn allows(&self, attempt: AttemptNo, now: Instant) -> Result<(), WindowClosed> {
-        check(self.closes_for(attempt), now)
+    pub fn allows_write(&self, attempt: AttemptNo, now: Instant) -> Result<(), WindowClosed> {
+        check(self.closes_at(attempt), now)
     }
 
     /// When an attempt has to be written whole. `None` while no other attempt binds it.
-    pub fn closes_for(&self, attempt: AttemptNo) -> Option<Instant> {
+    pub fn closes_at(&self, attempt: AttemptNo) -> Option<Instant> {
         closes(&self.begun(), self.length, attempt)
     }
 
     /// An attempt has ended and did not run: the window does not count from it.
-    pub fn never_ran(&self, attempt: AttemptNo) {
+    pub fn mark_not_executed(&self, attempt: AttemptNo) {
         self.begun().retain(|(other, _)| *other != attempt);
     }
 
@@ -76,5 +76,5 @@
 }
 
 #[cfg(test)]
-#[path = "key_window_tests.rs"]
+#[path = "idempotency_window_tests.rs"]
 mod tests;
--- a/crates/node/src/engine/intake.rs
+++ b/crates/node/src/engine/intake.rs
@@ -13,8 +13,8 @@
 use tokio_util::task::TaskTracker;
 
 use super::EngineEvent;
-use super::message::{Final, Forward};
-use super::transport::Presence;
+use super::message::{FinalAnswer, ForwardedRequest};
+use super::transport::ClientConnection;
 
 /// The class and tenant names that requests may carry. The index of a name is the id.
 pub struct RequestNames {
@@ -46,16 +46,16 @@
     /// space.
     pub log_prefix: Arc<str>,
     /// The request as it is forwarded to upstreams.
-    pub forward: Forward,
+    pub forward: ForwardedRequest,
 }
 
 /// A validated request together with what the engine needs to answer it.
 pub(super) struct Arrival {
     pub request: RequestId,
     pub validated: ValidatedRequest,
-    pub reply: oneshot::Sender<Final>,
+    pub reply: oneshot::Sender<FinalAnswer>,
     /// Alive while the client's own task waits.
-    pub client: Weak<dyn Presence>,
+    pub client: Weak<dyn ClientConnection>,
 }
 
 /// Accepts the requests of all listeners. It holds only counters and flags: the engine alone owns the state
@@ -99,10 +99,14 @@
     /// Dropping the returned future before the answer means that the client has disconnected: the engine is
     /// notified and gives the request up. Transports check `client` for a disconnect before they write the
     /// first byte of an attempt.
-    pub async fn submit(&self, validated: ValidatedRequest, client: impl Presence + 'static) -> Final {
+    pub async fn submit(
+        &self,
+        validated: ValidatedRequest,
+        client: impl ClientConnection + 'static,
+    ) -> FinalAnswer {
         let request = RequestId(self.next_request_id.fetch_add(1, Ordering::Relaxed));
         let (reply, answer) = oneshot::channel();
-        let presence: Arc<dyn Presence> = Arc::new(client);
+        let presence: Arc<dyn ClientConnection> = Arc::new(client);
         let client = Arc::downgrade(&presence);
         let mut guard = DisconnectGuard { request, intake: self, answered: false, _presence: presence };
         let arrival = Arrival { request, validated, reply, client };
@@ -110,7 +114,7 @@
         let answer = answer.await;
         guard.answered = true;
         // The engine has stopped, so nothing is known about what became of the request.
-        answer.unwrap_or(Final::Failed)
+        answer.unwrap_or(FinalAnswer::Failed)
     }
 }
 
@@ -121,7 +125,7 @@
     answered: bool,
     /// Kept alive while the client waits, so that attempts can see a disconnect before the engine is
     /// notified.
-    _presence: Arc<dyn Presence>,
+    _presence: Arc<dyn ClientConnection>,
 }
 
 impl Drop for DisconnectGuard<'_> {
--- a/crates/node/src/engine/list.rs
+++ b/crates/node/src/engine/list.rs
@@ -7,9 +7,9 @@
 use sagemast::api::*;
 use tokio::time::Instant;
 
-use super::roster::{Entry, List};
-use super::server_age::{Basis, Reading, is_revised, serving_weight};
-use super::transport::Peer;
+use super::discovery_source::{Entry, List};
+use super::server_age::{DiscoveryClockReading, StartBasis, differs_significantly, serving_weight};
+use super::transport::UpstreamInfo;
 use super::{Engine, Server};
 
 /// When more than this many host names are known, the engine forgets servers that are gone.
@@ -20,14 +20,14 @@
     /// old.
     pub(super) fn apply_list(&mut self, list: List, restored: bool) {
         self.resume_from = list.resume_from;
-        let complete = list.whole || restored;
+        let complete = list.complete || restored;
         let basis = self.start_basis(&list, restored);
         let mut listings: Vec<Listing> =
             list.entries.iter().map(|entry| self.update_server(entry, basis)).collect();
-        listings.extend(list.leaving.iter().filter_map(|name| self.drain_server(name)));
+        listings.extend(list.draining.iter().filter_map(|name| self.drain_server(name)));
         if complete {
             // A server whose entry could not be parsed is not missing: its last known state still applies.
-            let unread = list.unread.iter().filter_map(|name| self.upstream_ids.get(name));
+            let unread = list.unparsed.iter().filter_map(|name| self.upstream_ids.get(name));
             listings
                 .extend(unread.filter_map(|id| self.servers.get(id)).map(|server| server.listing.clone()));
             let listed: HashSet<UpstreamId> = listings.iter().map(|listing| listing.upstream).collect();
@@ -61,25 +61,29 @@
     }
 
     /// Returns what is known about the start times in a list beyond its entries.
-    fn start_basis(&mut self, list: &List, restored: bool) -> Basis {
+    fn start_basis(&mut self, list: &List, restored: bool) -> StartBasis {
         let now = self.to_millis(Instant::now());
         if restored {
-            return self.server_ages.restored(now, &list.entries);
+            return self.server_ages.apply_restored_list(now, &list.entries);
         }
         if let Some(clock) = list.source_clock {
             let (asked_at, answered_at) = (self.to_millis(clock.asked_at), self.to_millis(clock.answered_at));
-            self.server_ages.read(Reading { unix_ms: clock.unix_ms, asked_at, answered_at });
+            self.server_ages.apply_clock_reading(DiscoveryClockReading {
+                unix_ms: clock.unix_ms,
+                asked_at,
+                answered_at,
+            });
         }
-        let serving = if list.whole { serving_weight(&list.entries) } else { self.serving_weight() };
-        let heard_before = list.heard_before.map(|at| self.to_millis(at));
-        self.server_ages.listed(now, &list.entries, heard_before, serving)
+        let serving = if list.complete { serving_weight(&list.entries) } else { self.serving_weight() };
+        let heard_before = list.previous_contact.map(|at| self.to_millis(at));
+        self.server_ages.apply_list(now, &list.entries, heard_before, serving)
     }
 
     /// Like [`start_basis`](Engine::start_basis), for an entry reported by another cluster member.
-    pub(super) fn start_basis_from_peer(&mut self, entry: &Entry) -> Basis {
+    pub(super) fn start_basis_from_peer(&mut self, entry: &Entry) -> StartBasis {
         let now = self.to_millis(Instant::now());
         let serving = self.serving_weight();
-        self.server_ages.told_by_peer(now, entry, serving)
+        self.server_ages.apply_peer_entry(now, entry, serving)
     }
 
     /// Returns the total weight of all serving servers.
@@ -91,7 +95,7 @@
 
     /// Applies a list entry to the server that it describes, and returns the entry in the balancer's terms. A
     /// host name that is new gets the next upstream id.
-    pub(super) fn update_server(&mut self, entry: &Entry, basis: Basis) -> Listing {
+    pub(super) fn update_server(&mut self, entry: &Entry, basis: StartBasis) -> Listing {
         let id = match self.upstream_ids.get(&entry.host) {
             Some(id) => *id,
             None => {
@@ -132,15 +136,15 @@
     /// Returns when a server started, on the balancer's clock. An earlier estimate for the same start stays,
     /// unless a list whose starts may be of any age, such as the first one, gives a significantly different
     /// estimate.
-    fn start_time(&mut self, id: UpstreamId, started_ms: f64, basis: Basis) -> Option<Millis> {
+    fn start_time(&mut self, id: UpstreamId, started_ms: f64, basis: StartBasis) -> Option<Millis> {
         let known = self.servers.get(&id).filter(|server| server.started_ms == started_ms);
         let before = known.map(|server| server.listing.started);
-        if let (Some(before), Basis::Told { .. } | Basis::AfterSilence { .. }) = (before, basis) {
+        if let (Some(before), StartBasis::Live { .. } | StartBasis::AfterGap { .. }) = (before, basis) {
             return before;
         }
         let now = self.to_millis(Instant::now());
-        let estimate = self.server_ages.started(now, started_ms, basis);
-        before.filter(|before| !is_revised(*before, estimate)).unwrap_or(estimate)
+        let estimate = self.server_ages.start_time(now, started_ms, basis);
+        before.filter(|before| !differs_significantly(*before, estimate)).unwrap_or(estimate)
     }
 
     /// Marks a server as draining, so that it gets no new requests. Returns `None` if the host name is
@@ -181,12 +185,12 @@
     }
 
     /// Returns what the transport needs to know about the server.
-    fn transport_info(&self) -> Peer {
+    fn transport_info(&self) -> UpstreamInfo {
         let serving = self.listing.lifecycle == Lifecycle::Serving;
-        Peer {
+        UpstreamInfo {
             host: self.host.clone(),
             dial: self.address,
-            life: self.incarnation,
+            incarnation: self.incarnation,
             zone: self.zone_name(),
             serving,
         }
--- a/crates/node/src/engine/message.rs
+++ b/crates/node/src/engine/message.rs
@@ -7,10 +7,10 @@
 use sagemast::api::{Millis, Outcome, Reason};
 
 /// Bodies hold at most this much, both ways.
-pub const BODY_BYTES: usize = 64 << 10;
+pub const MAX_BODY_BYTES: usize = 64 << 10;
 
 /// A request as it goes on to upstreams.
-pub struct Forward {
+pub struct ForwardedRequest {
     /// Method.
     pub method: Method,
     /// Path and query, unchanged.
@@ -21,14 +21,14 @@
     pub body: Bytes,
 }
 
-impl Forward {
+impl ForwardedRequest {
     /// The client's id of the request.
     pub fn id(&self) -> &str {
         self.headers.get("x-request-id").and_then(|id| id.to_str().ok()).unwrap_or("?")
     }
 
     /// Whether its client says that it tries again.
-    pub fn is_repeat(&self) -> bool {
+    pub fn is_client_retry(&self) -> bool {
         self.headers.get("x-retried").is_some_and(|mark| mark.as_bytes().trim_ascii() == b"1")
     }
 
@@ -50,16 +50,16 @@
 }
 
 /// What an attempt came to.
-pub enum End {
+pub enum AttemptEnd {
     /// It ended so, with the answer if one came.
     Outcome(Outcome, Option<Answer>),
     /// It broke so, for this reason.
-    Broken(Outcome, String),
+    Failed(Outcome, String),
 }
 
 /// A final answer.
 #[derive(Debug)]
-pub enum Final {
+pub enum FinalAnswer {
     /// An upstream's answer.
     Served(HeaderMap, Bytes),
     /// Trying again is harmless, best after this long; and why.
@@ -69,7 +69,7 @@
 }
 
 /// The headers that are not about one connection or its framing.
-pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
+pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     const OF_CONNECTION: [HeaderName; 9] = [
         header::CONNECTION,
         header::TE,
--- a/crates/node/src/engine/message/tests.rs
+++ b/crates/node/src/engine/message/tests.rs
@@ -13,8 +13,12 @@
         headers.extend(mark.map(|mark| {
             (hyper::header::HeaderName::from_static("x-retried"), HeaderValue::from_static(mark))
         }));
-        let forward =
-            Forward { method: Method::GET, target: Uri::from_static("/a"), headers, body: Bytes::new() };
-        assert_eq!(forward.is_repeat(), repeat, "{mark:?}");
+        let forward = ForwardedRequest {
+            method: Method::GET,
+            target: Uri::from_static("/a"),
+            headers,
+            body: Bytes::new(),
+        };
+        assert_eq!(forward.is_client_retry(), repeat, "{mark:?}");
     }
 }
--- a/crates/node/src/engine/mod.rs
+++ b/crates/node/src/engine/mod.rs
@@ -5,21 +5,21 @@
 //!
 //! Three interfaces separate the engine from the rest of the process. It does not depend on their
 //! implementations: listeners submit requests to the [`Intake`], a [`Transport`] carries attempts to
-//! upstreams, and a [`Roster`] supplies the list of upstreams.
+//! upstreams, and a [`DiscoverySource`] supplies the list of upstreams.
 
 mod attempts;
+mod channels;
 mod cluster;
 mod counters;
+mod datagrams;
+mod discovery_source;
+mod idempotency_window;
 mod intake;
-mod key_window;
 mod list;
-mod members;
 mod message;
-mod roster;
 mod server_age;
 mod transport;
 mod wall_clock;
-mod ways;
 
 #[cfg(test)]
 mod tests;
@@ -50,19 +50,22 @@
 use intake::Arrival;
 use server_age::ServerAges;
 
+#[cfg(test)]
+pub(crate) use channels::TestEvents;
+pub use channels::{EngineChannels, EngineControl, Inbox};
 pub use cluster::{ClusterSetup, ClusterStatus};
+pub use datagrams::{Datagram, DatagramLosses, DatagramSender, Mailbox};
+pub use discovery_source::{
+    ClockReading, DiscoveryEvents, DiscoverySource, Entry, List, Subscription, SubscriptionStart,
+};
+pub use idempotency_window::{IdempotencyWindow, WindowClosed};
 pub use intake::{Intake, RequestNames, ValidatedRequest};
-pub use key_window::{KeyWindow, WindowClosed};
-pub use members::{Datagram, Losses, Mailbox, Members};
-pub use message::{Answer, BODY_BYTES, End, Final, Forward, end_to_end};
-pub use roster::{ClockReading, Entry, Following, List, News, Roster, Start};
+pub use message::{Answer, AttemptEnd, FinalAnswer, ForwardedRequest, MAX_BODY_BYTES, end_to_end_headers};
 pub use transport::{
-    Attempt, Counts, Flight, Gate, Interest, Pass, Peer, Presence, Reports, RestLimit, Transport,
+    Attempt, AttemptInfo, ClientConnection, ConnectionCounts, Interest, ReuseLimit, Transport,
+    TransportEvents, UpstreamInfo, ZoneCheck, ZonePolicy,
 };
 pub use wall_clock::WallClock;
-#[cfg(test)]
-pub(crate) use ways::Seen;
-pub use ways::{Inbox, Orders, Ways};
 
 /// The balancer's deadline for a request is this much earlier than the client's, so that the final answer
 /// still reaches the client in time.
@@ -82,13 +85,13 @@
     /// The client of this request disconnected before its answer.
     ClientDisconnected(RequestId),
     /// An attempt ended.
-    AttemptEnded { flight: Flight, end: End },
+    AttemptEnded { info: AttemptInfo, end: AttemptEnd },
     /// A load poll ended. `answer` is `None` if the server did not answer.
     ProbeEnded { upstream: UpstreamId, answer: Option<Answer> },
     /// The discovery source delivered a list or a change to it.
     ListReceived(List),
     /// A new discovery source replaces the current one.
-    DiscoverySourceReplaced(Box<dyn Roster>),
+    DiscoverySourceReplaced(Box<dyn DiscoverySource>),
     /// A new route table replaces the current one.
     RoutesChanged(Table),
     /// The operator requested a dump of the capture to the log.
@@ -104,7 +107,7 @@
 /// An attempt that has not ended yet.
 struct InFlightAttempt {
     upstream: UpstreamId,
-    forward: Arc<Forward>,
+    forward: Arc<ForwardedRequest>,
     started_at: Instant,
     /// Dropping this sender cancels the attempt. `None` once the attempt is cancelled.
     cancel: Option<oneshot::Sender<()>>,
@@ -114,9 +117,9 @@
 struct OpenRequest {
     class: ClassId,
     tenant: TenantId,
-    forward: Arc<Forward>,
+    forward: Arc<ForwardedRequest>,
     log_prefix: Arc<str>,
-    reply: oneshot::Sender<Final>,
+    reply: oneshot::Sender<FinalAnswer>,
     /// The number of attempts started so far.
     attempts: u32,
     /// When the last byte of the request was read.
@@ -130,12 +133,12 @@
     /// request still needs an answer.
     answer_owed: Arc<()>,
     /// Alive while the client's own task waits.
-    client: Weak<dyn Presence>,
+    client: Weak<dyn ClientConnection>,
     /// The time window in which attempts may be written, for a class whose repeats upstreams discard by
     /// idempotency key.
-    key_window: Option<Arc<KeyWindow>>,
+    idempotency_window: Option<Arc<IdempotencyWindow>>,
     /// Limits how long a connection may have been idle to be reused. All attempts of the request share it.
-    rest_limit: RestLimit,
+    reuse_limit: ReuseLimit,
 }
 
 /// A server known from discovery or from other cluster members.
@@ -184,11 +187,11 @@
     intake: Arc<Intake>,
     inbox: mpsc::UnboundedReceiver<EngineEvent>,
     transport: Box<dyn Transport>,
-    discovery_source: Box<dyn Roster>,
+    discovery_source: Box<dyn DiscoverySource>,
     /// The list version from which a new subscription to a discovery source resumes.
     resume_from: u64,
     /// The current subscription to the discovery source.
-    following: Option<Following>,
+    following: Option<Subscription>,
     /// Time 0 of the balancer's clock.
     epoch: Instant,
     /// Derives the age of servers from what discovery reports.
@@ -220,7 +223,7 @@
     /// Carries attempts and load polls to upstreams.
     pub transport: Box<dyn Transport>,
     /// Supplies the list of upstreams.
-    pub discovery_source: Box<dyn Roster>,
+    pub discovery_source: Box<dyn DiscoverySource>,
     /// Cluster membership and residency rules, if either is configured.
     pub cluster: Option<ClusterSetup>,
     /// One reading of the machine's wall clock. The engine does not read the wall clock again.
@@ -296,7 +299,7 @@
         self.wake_cluster();
         self.apply_list(known.unwrap_or_default(), true);
         let serving = self.servers.values().any(|server| server.listing.lifecycle == Lifecycle::Serving);
-        self.follow_discovery(if serving { Start::Known } else { Start::Empty });
+        self.follow_discovery(if serving { SubscriptionStart::HasList } else { SubscriptionStart::NoList });
         self.set_timer(Instant::now() + SWEEP_INTERVAL, Timer::Sweep);
         self.set_timer(Instant::now() + LOG_INTERVAL, Timer::LogCounters);
         loop {
@@ -314,8 +317,8 @@
     }
 
     /// Subscribes to the discovery source, in place of the current subscription.
-    fn follow_discovery(&mut self, start: Start) {
-        self.following = Some(self.discovery_source.follow(self.resume_from, start));
+    fn follow_discovery(&mut self, start: SubscriptionStart) {
+        self.following = Some(self.discovery_source.subscribe(self.resume_from, start));
     }
 
     /// Converts an instant to the balancer's clock.
@@ -341,7 +344,7 @@
                     // The balancer answers in time unless it has a bug or the process was suspended.
                     let forward = self.open_requests.get(&request).map(|open| open.forward.clone());
                     self.counters.overdue += u32::from(forward.is_some());
-                    self.answer_request(request, Final::Failed);
+                    self.answer_request(request, FinalAnswer::Failed);
                     self.abandon_request(request, forward.as_deref(), "overdue");
                 }
                 Timer::Sweep => {
@@ -361,11 +364,11 @@
     /// Logs the counts since the previous such line. Without cluster logic, an idle period is not logged.
     fn log_counters(&mut self) {
         let counters = std::mem::take(&mut self.counters);
-        let connections = self.transport.counts();
+        let connections = self.transport.take_counts();
         if !counters.is_idle() || self.cluster.is_some() {
             let clients = self.intake.connections.len();
             let (open, out, idle) =
-                (self.open_requests.len(), self.in_flight_attempts.len(), self.transport.idle());
+                (self.open_requests.len(), self.in_flight_attempts.len(), self.transport.idle_connections());
             let line = counters.log_line(&connections, self.routing.names());
             let cluster =
                 self.cluster.as_ref().map(|cluster| format!("; {}", cluster.status())).unwrap_or_default();
@@ -380,7 +383,12 @@
 
     /// Like [`notify_balancer`](Engine::notify_balancer), for an event about `request`. The capture records
     /// the request and the reason `why`.
-    fn notify_balancer_about(&mut self, event: Event, request: Option<&Forward>, why: Option<&'static str>) {
+    fn notify_balancer_about(
+        &mut self,
+        event: Event,
+        request: Option<&ForwardedRequest>,
+        why: Option<&'static str>,
+    ) {
         let now = self.to_millis(Instant::now());
         let mut actions = std::mem::take(&mut self.actions);
         let recorded = (self.capture.is_some() || self.cluster.is_some()).then(|| event.clone());
@@ -403,7 +411,7 @@
         now: Millis,
         event: Event,
         actions: &[Action],
-        request: Option<&Forward>,
+        request: Option<&ForwardedRequest>,
         why: Option<&'static str>,
     ) {
         let (Some(capture), servers) = (&mut self.capture, &self.servers) else { return };
@@ -416,9 +424,9 @@
             _ => &[],
         };
         let about = About {
-            id: request.map(Forward::id),
+            id: request.map(ForwardedRequest::id),
             class: class.map(|class| names.classes[class].0.as_str()),
-            timeout_ms: request.and_then(Forward::timeout_ms),
+            timeout_ms: request.and_then(ForwardedRequest::timeout_ms),
             why,
             hosts: listed
                 .iter()
@@ -444,7 +452,7 @@
                 }
                 self.abandon_request(request, open.as_ref().map(|open| &*open.forward), "its client left");
             }
-            EngineEvent::AttemptEnded { flight, end } => self.finish_attempt(flight, end),
+            EngineEvent::AttemptEnded { info, end } => self.finish_attempt(info, end),
             EngineEvent::ProbeEnded { upstream, answer } => {
                 let status = answer.as_ref().map(|answer| answer.status.as_u16());
                 let answered = status == Some(200);
@@ -458,7 +466,7 @@
             EngineEvent::DiscoverySourceReplaced(source) => {
                 self.discovery_source = source;
                 let previous = self.following.take();
-                self.follow_discovery(Start::Moved(previous));
+                self.follow_discovery(SubscriptionStart::Replaces(previous));
             }
             EngineEvent::RoutesChanged(table) => self.apply_routes(table),
             EngineEvent::DatagramsReceived => self.receive_datagrams(),
@@ -504,7 +512,7 @@
         let class = self.routing.class_of(class, forwarded.target.path(), &forwarded.headers);
         self.counters.for_class(class).arrived += 1;
         let answer_owed = Arc::new(());
-        let key_window = self.key_window(class);
+        let idempotency_window = self.idempotency_window(class);
         let open = OpenRequest {
             class,
             tenant,
@@ -518,12 +526,12 @@
             attempt_log,
             answer_owed,
             client,
-            key_window,
-            rest_limit: RestLimit::default(),
+            idempotency_window,
+            reuse_limit: ReuseLimit::default(),
         };
         self.open_requests.insert(request, open);
         let time_left = deadline.saturating_duration_since(Instant::now()).as_secs_f64() * 1e3;
-        let repeat = forwarded.is_repeat();
+        let repeat = forwarded.is_client_retry();
         self.notify_balancer_about(
             Event::Arrived { request, class, tenant, time_left, repeat },
             Some(&forwarded),
@@ -533,7 +541,7 @@
 
     /// Notifies the balancer that a request ended without the balancer's answer, and cancels the attempts of
     /// the request that are still in flight.
-    fn abandon_request(&mut self, request: RequestId, forward: Option<&Forward>, why: &'static str) {
+    fn abandon_request(&mut self, request: RequestId, forward: Option<&ForwardedRequest>, why: &'static str) {
         self.notify_balancer_about(Event::Abandoned(request), forward, Some(why));
         self.cancel_attempts(request);
     }
@@ -548,18 +556,18 @@
 
     /// Sends the final answer of a request and counts it, if the request is still open. Returns whether the
     /// answer reached the client's task.
-    fn answer_request(&mut self, request: RequestId, answer: Final) -> bool {
+    fn answer_request(&mut self, request: RequestId, answer: FinalAnswer) -> bool {
         let Some(open) = self.open_requests.remove(&request) else { return false };
         self.timers.remove(&open.backstop_timer);
         let latency_objective =
             self.balancer.classes().get(open.class.0).map_or(Millis::INFINITY, |class| class.aim);
         let counts = self.counters.for_class(open.class);
         match &answer {
-            Final::Served(..) => {
+            FinalAnswer::Served(..) => {
                 counts.served += 1;
                 counts.late += u32::from(open.received_at.elapsed().as_secs_f64() * 1e3 > latency_objective);
             }
-            Final::Refused(_, reason) => {
+            FinalAnswer::Refused(_, reason) => {
                 counts.refused += 1;
                 match reason {
                     Reason::Overload => {}
@@ -567,9 +575,9 @@
                     Reason::Shed => counts.shed += 1,
                 }
             }
-            Final::Failed => counts.failed += 1,
+            FinalAnswer::Failed => counts.failed += 1,
         }
-        if !matches!(answer, Final::Served(..)) {
+        if !matches!(answer, FinalAnswer::Served(..)) {
             counts.unsent += u32::from(open.attempts == 0);
             warn!("{}", FailureReport { open: &open, answer: &answer });
         }
@@ -587,10 +595,10 @@
                 }
             }
             Action::Refuse { request, retry_after, reason } => {
-                self.answer_request(request, Final::Refused(retry_after, reason));
+                self.answer_request(request, FinalAnswer::Refused(retry_after, reason));
             }
             Action::Fail(request) => {
-                self.answer_request(request, Final::Failed);
+                self.answer_request(request, FinalAnswer::Failed);
             }
             Action::Probe(upstream) => self.start_probe(upstream),
             Action::WakeAt { at, token } => {
@@ -610,7 +618,7 @@
 /// overload the log omits most of these lines.
 struct FailureReport<'a> {
     open: &'a OpenRequest,
-    answer: &'a Final,
+    answer: &'a FinalAnswer,
 }
 
 impl Display for FailureReport<'_> {
@@ -618,10 +626,10 @@
         let OpenRequest { log_prefix, forward, received_at, deadline, attempt_log, .. } = self.open;
         let (id, path) = (forward.id(), forward.target.path());
         let end = match self.answer {
-            Final::Failed => "failed",
-            Final::Refused(_, Reason::Residency) => "refused (residency)",
-            Final::Refused(_, Reason::Shed) => "refused (shed by the fleet)",
-            Final::Refused(_, Reason::Overload) | Final::Served(..) => "refused",
+            FinalAnswer::Failed => "failed",
+            FinalAnswer::Refused(_, Reason::Residency) => "refused (residency)",
+            FinalAnswer::Refused(_, Reason::Shed) => "refused (shed by the fleet)",
+            FinalAnswer::Refused(_, Reason::Overload) | FinalAnswer::Served(..) => "refused",
         };
         let after = received_at.elapsed().as_millis();
         let left = deadline.saturating_duration_since(Instant::now()).as_millis();
--- a/crates/node/src/engine/server_age.rs
+++ b/crates/node/src/engine/server_age.rs
@@ -10,7 +10,7 @@
 
 use sagemast::api::Millis;
 
-use super::roster::Entry;
+use super::discovery_source::Entry;
 
 /// A wall clock is stepped by an hour at most; the minute is what clocks differ by without a step.
 const LONGEST_STEP: Millis = 61.0 * 60.0 * 1e3;
@@ -33,7 +33,7 @@
 
 /// What discovery's clock showed, in the module's time.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Reading {
+pub(super) struct DiscoveryClockReading {
     /// In Unix milliseconds, cut to whole seconds.
     pub unix_ms: Millis,
     /// It was not read before this.
@@ -53,13 +53,13 @@
 
 /// What is known of a list's starts besides what its entries say.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) enum Basis {
+pub(super) enum StartBasis {
     /// They may be of any age; discovery's clock showed no less than this at the module's 0.
     AnyAge { clock: Millis },
     /// Some were missed in a silence: they happened after `earliest`.
-    AfterSilence { clock: Millis, earliest: Millis },
+    AfterGap { clock: Millis, earliest: Millis },
     /// They were told at once: they happened after `earliest`.
-    Told { earliest: Millis },
+    Live { earliest: Millis },
 }
 
 /// Tells how old servers are.
@@ -89,7 +89,7 @@
     }
 
     /// Takes in what discovery's clock showed.
-    pub(super) fn read(&mut self, reading: Reading) {
+    pub(super) fn apply_clock_reading(&mut self, reading: DiscoveryClockReading) {
         let lowest = reading.unix_ms - reading.answered_at;
         let highest = reading.unix_ms + DATE_RESOLUTION - reading.asked_at;
         // Neither a clock further off than by a step, nor one behind the servers', is the one that starts are told by.
@@ -104,51 +104,51 @@
     }
 
     /// Takes in the list that a process holds from before its start.
-    pub(super) fn restored(&mut self, now: Millis, entries: &[Entry]) -> Basis {
+    pub(super) fn apply_restored_list(&mut self, now: Millis, entries: &[Entry]) -> StartBasis {
         self.see(now, entries);
-        Basis::AnyAge { clock: self.certain_clock(now, entries, serving_weight(entries)) }
+        StartBasis::AnyAge { clock: self.certain_clock(now, entries, serving_weight(entries)) }
     }
 
     /// Takes in a list of discovery's. `heard_before` is when it was heard last before this list, where its source knows,
     /// and `serving` the weight of all servers that serve.
-    pub(super) fn listed(
+    pub(super) fn apply_list(
         &mut self,
         now: Millis,
         entries: &[Entry],
         heard_before: Option<Millis>,
         serving: f64,
-    ) -> Basis {
+    ) -> StartBasis {
         self.see(now, entries);
         let heard_before = heard_before.into_iter().chain(self.heard_at.replace(now)).reduce(f64::max);
         let clock = self.certain_clock(now, entries, serving);
         let told_since = |at: Millis| at - TOLD_WITHIN - TOLERANCE;
         match heard_before {
-            None => Basis::AnyAge { clock },
-            Some(at) if now - at <= HEARD_WITHOUT_GAP => Basis::Told { earliest: told_since(now) },
-            Some(at) => Basis::AfterSilence { clock, earliest: told_since(at) },
+            None => StartBasis::AnyAge { clock },
+            Some(at) if now - at <= HEARD_WITHOUT_GAP => StartBasis::Live { earliest: told_since(now) },
+            Some(at) => StartBasis::AfterGap { clock, earliest: told_since(at) },
         }
     }
 
     /// Takes in one entry that another member told of.
-    pub(super) fn told_by_peer(&mut self, now: Millis, entry: &Entry, serving: f64) -> Basis {
+    pub(super) fn apply_peer_entry(&mut self, now: Millis, entry: &Entry, serving: f64) -> StartBasis {
         let entries = std::slice::from_ref(entry);
         self.see(now, entries);
         let clock = self.certain_clock(now, entries, serving);
         match self.heard_at {
-            None => Basis::AnyAge { clock },
-            Some(at) => Basis::AfterSilence { clock, earliest: at - TOLD_WITHIN - TOLERANCE },
+            None => StartBasis::AnyAge { clock },
+            Some(at) => StartBasis::AfterGap { clock, earliest: at - TOLD_WITHIN - TOLERANCE },
         }
     }
 
     /// When a server started, at the latest that is possible; nothing for long ago.
-    pub(super) fn started(&mut self, now: Millis, started_ms: f64, basis: Basis) -> Option<Millis> {
+    pub(super) fn start_time(&mut self, now: Millis, started_ms: f64, basis: StartBasis) -> Option<Millis> {
         if started_ms <= 0.0 {
             return None;
         }
         Some(match basis {
-            Basis::AnyAge { clock } => (started_ms - clock).min(now),
-            Basis::AfterSilence { clock, earliest } => (started_ms - clock).max(earliest).min(now),
-            Basis::Told { earliest } => self.told(now, started_ms, earliest),
+            StartBasis::AnyAge { clock } => (started_ms - clock).min(now),
+            StartBasis::AfterGap { clock, earliest } => (started_ms - clock).max(earliest).min(now),
+            StartBasis::Live { earliest } => self.told(now, started_ms, earliest),
         })
     }
 
@@ -189,7 +189,7 @@
 }
 
 /// Whether a start that was judged before is to be judged anew: not for what clocks differ by anyway.
-pub(super) fn is_revised(before: Option<Millis>, after: Option<Millis>) -> bool {
+pub(super) fn differs_significantly(before: Option<Millis>, after: Option<Millis>) -> bool {
     match (before, after) {
         (Some(before), Some(after)) => (before - after).abs() > TOLERANCE,
         (before, after) => before != after,
--- a/crates/node/src/engine/tests.rs
+++ b/crates/node/src/engine/tests.rs
@@ -25,17 +25,17 @@
 }
 
 impl Transport for NotingTransport {
-    fn update_upstream(&self, _: UpstreamId, _: Peer) {}
+    fn update_upstream(&self, _: UpstreamId, _: UpstreamInfo) {}
     fn remove_upstream(&self, _: UpstreamId) {}
     fn attempt(&self, attempt: Attempt) {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).push(attempt);
     }
     fn probe(&self, _: UpstreamId, _: Instant) {}
     fn sweep(&self) {}
-    fn counts(&self) -> Counts {
-        Counts::default()
+    fn take_counts(&self) -> ConnectionCounts {
+        ConnectionCounts::default()
     }
-    fn idle(&self) -> usize {
+    fn idle_connections(&self) -> usize {
         0
     }
 }
@@ -43,9 +43,9 @@
 /// Tells nothing.
 struct SilentRoster;
 
-impl Roster for SilentRoster {
-    fn follow(&self, _: u64, _: Start) -> Following {
-        Following::by(|_| async {})
+impl DiscoverySource for SilentRoster {
+    fn subscribe(&self, _: u64, _: SubscriptionStart) -> Subscription {
+        Subscription::spawn(|_| async {})
     }
 }
 
@@ -53,7 +53,7 @@
 fn engine() -> (Engine, NotingTransport, Arc<Intake>) {
     let settings: SettingsObject = serde_json::from_str(SETTINGS).expect("settings");
     let names = RequestNames { classes: settings.classes(), tenants: Vec::new() };
-    let Ways { intake, inbox, .. } = Ways::new(names);
+    let EngineChannels { intake, inbox, .. } = EngineChannels::new(names);
     let transport = NotingTransport::default();
     let surroundings = EngineDependencies {
         intake: intake.clone(),
@@ -74,12 +74,12 @@
         weight: 1.0,
         started_ms: 0.0,
     };
-    engine.apply_list(List { version: 1, whole: true, entries: vec![entry], ..List::default() }, false);
+    engine.apply_list(List { version: 1, complete: true, entries: vec![entry], ..List::default() }, false);
     (engine, transport, intake)
 }
 
 fn asked() -> ValidatedRequest {
-    let forward = Forward {
+    let forward = ForwardedRequest {
         method: Method::POST,
         target: Uri::from_static("/a"),
         headers: HeaderMap::new(),
@@ -96,7 +96,7 @@
 }
 
 /// A client that waits for its answer until its task is aborted.
-async fn client(intake: &Arc<Intake>) -> JoinHandle<Final> {
+async fn client(intake: &Arc<Intake>) -> JoinHandle<FinalAnswer> {
     let intake = intake.clone();
     let client = tokio::spawn(async move { intake.submit(asked(), ()).await });
     tokio::task::yield_now().await;
@@ -150,15 +150,16 @@
     let (mut engine, transport, intake) = engine();
     let _client = client(&intake).await;
     take_in(&mut engine, 1);
-    let request = transport.take().remove(0).flight.request;
+    let request = transport.take().remove(0).info.request;
     let upstream = engine.servers.keys().next().copied().expect("a server");
     engine.start_attempt(request, upstream, 0.0);
     let second = transport.take().remove(0);
     engine.start_attempt(request, upstream, 0.0);
     let third = transport.take().remove(0);
-    let (opened, bound) = (second.key_window.expect("a window"), third.key_window.expect("a window"));
-    opened.begin(second.flight.attempt, Instant::now()).expect("the first to begin");
-    assert!(bound.closes_for(third.flight.attempt).is_some());
-    engine.finish_attempt(second.flight, End::Outcome(Outcome::Unreachable, None));
-    assert!(bound.closes_for(third.flight.attempt).is_none());
+    let (opened, bound) =
+        (second.idempotency_window.expect("a window"), third.idempotency_window.expect("a window"));
+    opened.begin_write(second.info.attempt, Instant::now()).expect("the first to begin");
+    assert!(bound.closes_at(third.info.attempt).is_some());
+    engine.finish_attempt(second.info, AttemptEnd::Outcome(Outcome::Unreachable, None));
+    assert!(bound.closes_at(third.info.attempt).is_none());
 }
--- a/crates/node/src/engine/transport.rs
+++ b/crates/node/src/engine/transport.rs
@@ -10,12 +10,12 @@
 use tokio::time::Instant;
 
 use super::EngineEvent;
-use super::key_window::KeyWindow;
-use super::message::{Answer, End, Forward};
+use super::idempotency_window::IdempotencyWindow;
+use super::message::{Answer, AttemptEnd, ForwardedRequest};
 
 /// One attempt on its way.
 #[derive(Debug, Clone, Copy)]
-pub struct Flight {
+pub struct AttemptInfo {
     /// The request.
     pub request: RequestId,
     /// Which of its sends.
@@ -27,39 +27,39 @@
 }
 
 /// Where requests may go, by rules that may change while an attempt is on its way to its connection.
-pub trait Gate: Send + Sync {
+pub trait ZonePolicy: Send + Sync {
     /// Whether a request of this class and tenant may be written to a server in this zone, now.
-    fn lets(&self, class: ClassId, tenant: TenantId, zone: &str) -> bool;
+    fn allows(&self, class: ClassId, tenant: TenantId, zone: &str) -> bool;
 }
 
-/// What a transport asks a [`Gate`] for one request.
+/// What a transport asks a [`ZonePolicy`] for one request.
 #[derive(Clone)]
-pub struct Pass {
+pub struct ZoneCheck {
     /// Who decides.
-    pub gate: Arc<dyn Gate>,
+    pub policy: Arc<dyn ZonePolicy>,
     /// The request's class.
     pub class: ClassId,
     /// Its tenant.
     pub tenant: TenantId,
 }
 
-impl Pass {
+impl ZoneCheck {
     /// Whether the request may be written to a server in this zone, which the roster may have moved there meanwhile.
-    pub fn lets(&self, peer: &Peer) -> bool {
-        self.gate.lets(self.class, self.tenant, peer.zone.as_deref().unwrap_or_default())
+    pub fn allows(&self, peer: &UpstreamInfo) -> bool {
+        self.policy.allows(self.class, self.tenant, peer.zone.as_deref().unwrap_or_default())
     }
 }
 
 /// The client of a request, as its connection shows it at the moment of asking.
-pub trait Presence: Send + Sync {
+pub trait ClientConnection: Send + Sync {
     /// Whether it has closed, whatever lies unread before that. Asks the kernel, whose events may not have been taken in
     /// yet: the process may have been held up since.
-    fn has_left(&self) -> bool;
+    fn has_disconnected(&self) -> bool;
 }
 
 /// A client of which nothing more is known than that its task waits.
-impl Presence for () {
-    fn has_left(&self) -> bool {
+impl ClientConnection for () {
+    fn has_disconnected(&self) -> bool {
         false
     }
 }
@@ -71,7 +71,7 @@
     /// Alive until the request has its final answer.
     answer_owed: Weak<()>,
     /// Alive while the client is there, where its front says so.
-    client: Option<Weak<dyn Presence>>,
+    client: Option<Weak<dyn ClientConnection>>,
 }
 
 impl Interest {
@@ -81,7 +81,7 @@
     }
 
     /// The same, and only while the client's own task holds this.
-    pub fn while_client_holds(self, client: Weak<dyn Presence>) -> Interest {
+    pub fn while_client_waits(self, client: Weak<dyn ClientConnection>) -> Interest {
         Interest { client: Some(client), ..self }
     }
 
@@ -95,7 +95,7 @@
     /// call.
     pub fn is_wanted_now(&self) -> bool {
         let client = self.client.as_ref().and_then(Weak::upgrade);
-        self.is_wanted() && !client.is_some_and(|client| client.has_left())
+        self.is_wanted() && !client.is_some_and(|client| client.has_disconnected())
     }
 }
 
@@ -106,11 +106,11 @@
 /// connection that had rested for long, as servers or what lies before them may forget it, the next one takes none that
 /// has rested as long. Else all attempts of a request can be used up on connections that were lost in one rest.
 #[derive(Debug, Clone, Default)]
-pub struct RestLimit(Arc<Mutex<Option<Duration>>>);
+pub struct ReuseLimit(Arc<Mutex<Option<Duration>>>);
 
-impl RestLimit {
+impl ReuseLimit {
     /// A connection that had rested for so long broke under the request.
-    pub fn broke_after(&self, rest: Duration) {
+    pub fn record_break(&self, rest: Duration) {
         if rest >= LEAST_LONG_REST {
             let mut limit = self.0.lock().unwrap_or_else(PoisonError::into_inner);
             *limit = Some(limit.map_or(rest, |known| known.min(rest)));
@@ -118,7 +118,7 @@
     }
 
     /// The rest from which on a connection is not to be used, if there is one.
-    pub fn known(&self) -> Option<Duration> {
+    pub fn max_idle_time(&self) -> Option<Duration> {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -126,42 +126,42 @@
 /// An attempt for a transport to carry.
 pub struct Attempt {
     /// Which it is.
-    pub flight: Flight,
+    pub info: AttemptInfo,
     /// What goes to the upstream.
-    pub forward: Arc<Forward>,
+    pub forward: Arc<ForwardedRequest>,
     /// Dropped or used when the engine gives the attempt up.
-    pub given_up: oneshot::Receiver<()>,
+    pub cancelled: oneshot::Receiver<()>,
     /// Who waits for its answer: what is not written once nobody does must not be.
     pub interest: Interest,
     /// By when it has to be written, for a class whose repeats upstreams discard by key.
-    pub key_window: Option<Arc<KeyWindow>>,
+    pub idempotency_window: Option<Arc<IdempotencyWindow>>,
     /// Where it may go; absent: anywhere.
-    pub pass: Option<Pass>,
+    pub zone_check: Option<ZoneCheck>,
     /// Over which connections it may go, by what became of earlier attempts.
-    pub rest_limit: RestLimit,
+    pub reuse_limit: ReuseLimit,
 }
 
 impl Attempt {
     /// Whether the engine gave it up.
-    pub fn is_given_up(&mut self) -> bool {
-        !matches!(self.given_up.try_recv(), Err(oneshot::error::TryRecvError::Empty))
+    pub fn is_cancelled(&mut self) -> bool {
+        !matches!(self.cancelled.try_recv(), Err(oneshot::error::TryRecvError::Empty))
     }
 
     /// Whether somebody still waits for its answer and it was not given up.
     pub fn is_wanted(&mut self) -> bool {
-        !self.is_given_up() && self.interest.is_wanted()
+        !self.is_cancelled() && self.interest.is_wanted()
     }
 }
 
 /// What a transport must know of an upstream.
 #[derive(Debug, Clone)]
-pub struct Peer {
+pub struct UpstreamInfo {
     /// Its name, for the log.
     pub host: Arc<str>,
     /// Where it listens.
     pub dial: SocketAddr,
     /// Which of its lives: connections do not outlast one.
-    pub life: u64,
+    pub incarnation: u64,
     /// The name of its zone, where rules ask for it.
     pub zone: Option<Arc<str>>,
     /// Whether it takes new work. To one that does not, nothing is written that is not yet on its way.
@@ -170,7 +170,7 @@
 
 /// What a transport has done since it was last asked.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
-pub struct Counts {
+pub struct ConnectionCounts {
     /// Connections opened, for attempts and probes.
     pub opened: u32,
     /// Attempts and probes over an idle connection.
@@ -184,11 +184,11 @@
 /// Carries attempts and probes to upstreams by one protocol.
 ///
 /// Nothing here waits: what takes time goes on in tasks of the transport's own, which tell the engine by the
-/// [`Reports`] that the transport was made with. Each attempt gets exactly one end, also one for an upstream that
+/// [`TransportEvents`] that the transport was made with. Each attempt gets exactly one end, also one for an upstream that
 /// the transport was never told of.
 pub trait Transport: Send {
     /// What is known of an upstream is new or has changed.
-    fn update_upstream(&self, upstream: UpstreamId, peer: Peer);
+    fn update_upstream(&self, upstream: UpstreamId, peer: UpstreamInfo);
     /// An upstream is forgotten.
     fn remove_upstream(&self, upstream: UpstreamId);
     /// Carries an attempt.
@@ -198,23 +198,23 @@
     /// Closes what has been idle for too long.
     fn sweep(&self);
     /// What was done since this was last asked.
-    fn counts(&self) -> Counts;
+    fn take_counts(&self) -> ConnectionCounts;
     /// Connections that carry nothing now.
-    fn idle(&self) -> usize;
+    fn idle_connections(&self) -> usize;
 }
 
 /// Where a transport tells what became of attempts and probes.
 #[derive(Clone)]
-pub struct Reports(pub(super) mpsc::UnboundedSender<EngineEvent>);
+pub struct TransportEvents(pub(super) mpsc::UnboundedSender<EngineEvent>);
 
-impl Reports {
+impl TransportEvents {
     /// An attempt has ended.
-    pub fn ended(&self, flight: Flight, end: End) {
-        let _ = self.0.send(EngineEvent::AttemptEnded { flight, end });
+    pub fn attempt_ended(&self, info: AttemptInfo, end: AttemptEnd) {
+        let _ = self.0.send(EngineEvent::AttemptEnded { info, end });
     }
 
     /// A probe has ended, with what came back.
-    pub fn probed(&self, upstream: UpstreamId, answer: Option<Answer>) {
+    pub fn probe_ended(&self, upstream: UpstreamId, answer: Option<Answer>) {
         let _ = self.0.send(EngineEvent::ProbeEnded { upstream, answer });
     }
 }
--- a/crates/node/src/fronts/http/request.rs
+++ b/crates/node/src/fronts/http/request.rs
@@ -16,7 +16,9 @@
 use super::framing::Framing;
 use super::listener::Who;
 use super::socket::ClientSocket;
-use crate::engine::{BODY_BYTES, Final, Forward, RequestNames, ValidatedRequest, end_to_end};
+use crate::engine::{
+    FinalAnswer, ForwardedRequest, MAX_BODY_BYTES, RequestNames, ValidatedRequest, end_to_end_headers,
+};
 use crate::figures::InFlight;
 use crate::fronts::address_lists::Client;
 
@@ -69,7 +71,7 @@
         Err((status, reason)) => return plain(status, reason),
     };
     let (head, body) = request.into_parts();
-    let body = match timeout_at(by, Limited::new(body, BODY_BYTES).collect()).await {
+    let body = match timeout_at(by, Limited::new(body, MAX_BODY_BYTES).collect()).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
             return plain(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long");
@@ -95,16 +97,17 @@
     }
     // A client may name the whole URL; upstreams are asked for the path in any case.
     let target = head.uri.path_and_query().cloned().map(Uri::from).unwrap_or_default();
-    let forward = Forward { method: head.method, target, headers: end_to_end(&head.headers), body };
+    let forward =
+        ForwardedRequest { method: head.method, target, headers: end_to_end_headers(&head.headers), body };
     let asked = ValidatedRequest { class, tenant, received_at: at, time_left, log_prefix: shown, forward };
     open.is_whole();
     match front.intake.submit(asked, socket.clone()).await {
-        Final::Served(headers, body) => {
+        FinalAnswer::Served(headers, body) => {
             let mut response = Response::new(Full::new(body));
             *response.headers_mut() = headers;
             response
         }
-        Final::Refused(retry_after, reason) => {
+        FinalAnswer::Refused(retry_after, reason) => {
             let text = match reason {
                 Reason::Overload => "refused",
                 Reason::Residency => "refused: no server serves where it may go",
@@ -118,7 +121,7 @@
             }
             response
         }
-        Final::Failed => plain(StatusCode::BAD_GATEWAY, "failed"),
+        FinalAnswer::Failed => plain(StatusCode::BAD_GATEWAY, "failed"),
     }
 }
 
@@ -165,7 +168,7 @@
         Some(name) => names.tenants.iter().position(|n| n == name).ok_or(bad("unknown tenant"))?,
     };
     let length = headers.get(header::CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.parse::<u64>().ok());
-    if length.is_some_and(|bytes| bytes > BODY_BYTES as u64) {
+    if length.is_some_and(|bytes| bytes > MAX_BODY_BYTES as u64) {
         return Err((StatusCode::PAYLOAD_TOO_LARGE, "the body is too long"));
     }
     Ok((ClassId(class), TenantId(tenant), time_left))
--- a/crates/node/src/fronts/http/socket.rs
+++ b/crates/node/src/fronts/http/socket.rs
@@ -16,7 +16,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::engine::Presence;
+use crate::engine::ClientConnection;
 use crate::socket::{MEMORY_RETRY, Readiness, Stream, lacks_memory};
 
 /// So much is read ahead while a request is being answered. Behind more than this a close shows only by the event that
@@ -179,8 +179,8 @@
     }
 }
 
-impl Presence for ClientSocket {
-    fn has_left(&self) -> bool {
+impl ClientConnection for ClientSocket {
+    fn has_disconnected(&self) -> bool {
         loop {
             let room = READ_AHEAD_BYTES.saturating_sub(self.ahead().len());
             if room == 0 {
--- a/crates/node/src/fronts/http/socket_tests.rs
+++ b/crates/node/src/fronts/http/socket_tests.rs
@@ -20,9 +20,9 @@
 #[tokio::test]
 async fn a_client_that_rests_or_sends_is_there() {
     let (mut client, mut socket) = connected().await;
-    assert!(!socket.has_left());
+    assert!(!socket.has_disconnected());
     client.write_all(b"pipelined").expect("written");
-    assert!(!socket.has_left());
+    assert!(!socket.has_disconnected());
     let mut read = [0; 9];
     socket.read_exact(&mut read).await.expect("nothing is lost");
     assert_eq!(&read, b"pipelined");
@@ -35,7 +35,7 @@
         client.write_all(bytes).expect("written");
         client.shutdown(Shutdown::Write).expect("shut down");
         let kept = half.then_some(client);
-        assert!(socket.has_left(), "{bytes:?} half: {half}");
+        assert!(socket.has_disconnected(), "{bytes:?} half: {half}");
         drop(kept);
     }
 }
@@ -45,7 +45,7 @@
     let (client, socket) = connected().await;
     socket2::SockRef::from(&client).set_linger(Some(Duration::ZERO)).expect("an option");
     drop(client);
-    assert!(socket.has_left());
+    assert!(socket.has_disconnected());
 }
 
 /// What came before a connection was accepted counts from when it may have begun to wait, what came later from when it
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -2,7 +2,7 @@
 //! happened through a channel.
 //!
 //! [`engine`] names the seams: an [`engine::Intake`] for those who ask, a [`engine::Transport`] to those who are
-//! asked and a [`engine::Roster`] for the list of them. What lies behind them does not know of each other.
+//! asked and a [`engine::DiscoverySource`] for the list of them. What lies behind them does not know of each other.
 
 pub mod capture;
 pub mod config;
--- a/crates/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -12,7 +12,7 @@
 use tokio::sync::Notify;
 use tokio_util::task::AbortOnDropHandle;
 
-use crate::engine::{Datagram, Losses, Mailbox, Members};
+use crate::engine::{Datagram, DatagramLosses, DatagramSender, Mailbox};
 
 /// Datagrams that wait to be sent at most: several periods' worth.
 const WAITING: usize = 512;
@@ -74,7 +74,7 @@
     }
 }
 
-impl Members for Datagrams {
+impl DatagramSender for Datagrams {
     fn send(&self, to: SocketAddr, bytes: Vec<u8>) {
         let mut waiting = self.shared.waiting();
         if waiting.len() >= WAITING {
@@ -85,11 +85,11 @@
         self.shared.filled.notify_one();
     }
 
-    fn losses(&self) -> Losses {
+    fn losses(&self) -> DatagramLosses {
         let Shared { unheard, strangers, unsent, failed, .. } = &*self.shared;
         let [unheard, strangers, unsent, failed] =
             [unheard, strangers, unsent, failed].map(|count| count.load(Ordering::Relaxed));
-        Losses { unheard, strangers, unsent, failed }
+        DatagramLosses { unheard, strangers, unsent, failed }
     }
 }
 
@@ -142,31 +142,33 @@
     use std::time::Duration;
 
     use super::*;
-    use crate::engine::{RequestNames, Ways};
+    use crate::engine::{EngineChannels, RequestNames};
 
     #[tokio::test]
     async fn only_configured_addresses_are_heard() {
-        let ways = Ways::new(RequestNames { classes: Vec::new(), tenants: Vec::new() });
-        let mailbox = ways.orders.mailbox();
+        let ways = EngineChannels::new(RequestNames { classes: Vec::new(), tenants: Vec::new() });
+        let mailbox = ways.control.mailbox();
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let [member, stranger] = [0, 1].map(|_| std::net::UdpSocket::bind(any).expect("a socket"));
         let known = member.local_addr().expect("an address");
         let datagrams = Datagrams::open(any, [known], mailbox.clone()).expect("a socket");
         stranger.send_to(b"x", datagrams.address()).expect("sent");
         member.send_to(b"hello", datagrams.address()).expect("sent");
-        let mut seen = ways.inbox.seen();
-        let mail = tokio::time::timeout(Duration::from_secs(10), seen.mail(&mailbox)).await.expect("in time");
+        let mut seen = ways.inbox.into_test_events();
+        let mail = tokio::time::timeout(Duration::from_secs(10), seen.next_datagrams(&mailbox))
+            .await
+            .expect("in time");
         assert_eq!(mail, [(known, b"hello".to_vec())]);
-        assert_eq!(datagrams.losses(), Losses { strangers: 1, ..Losses::default() });
+        assert_eq!(datagrams.losses(), DatagramLosses { strangers: 1, ..DatagramLosses::default() });
     }
 
     #[tokio::test]
     async fn what_cannot_be_sent_is_dropped_from_the_oldest_on() {
-        let ways = Ways::new(RequestNames { classes: Vec::new(), tenants: Vec::new() });
+        let ways = EngineChannels::new(RequestNames { classes: Vec::new(), tenants: Vec::new() });
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let member = std::net::UdpSocket::bind(any).expect("a socket");
         let to = member.local_addr().expect("an address");
-        let datagrams = Datagrams::open(any, [to], ways.orders.mailbox()).expect("a socket");
+        let datagrams = Datagrams::open(any, [to], ways.control.mailbox()).expect("a socket");
         // Its task runs when this one waits.
         (0..WAITING + 5).for_each(|n| datagrams.send(to, vec![(n % 256) as u8; 2]));
         assert_eq!(datagrams.losses().unsent, 5);
--- a/crates/node/src/rosters/discovery.rs
+++ b/crates/node/src/rosters/discovery.rs
@@ -19,7 +19,7 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
-use crate::engine::{ClockReading, Following, List, News, Roster, Start};
+use crate::engine::{ClockReading, DiscoveryEvents, DiscoverySource, List, Subscription, SubscriptionStart};
 use crate::log;
 use crate::rosters::host_list::HostList;
 use crate::rosters::source_clock::clock_reading;
@@ -42,21 +42,21 @@
     /// What its sockets are opened with.
     pub system_calls: Arc<dyn SystemCalls>,
     /// Where its news go.
-    pub news: News,
+    pub news: DiscoveryEvents,
 }
 
-impl Roster for Source {
-    fn follow(&self, from: u64, start: Start) -> Following {
+impl DiscoverySource for Source {
+    fn subscribe(&self, from: u64, start: SubscriptionStart) -> Subscription {
         let (start, before) = match start {
-            Start::Empty => (listclock::Start::Empty, None),
-            Start::Known => (listclock::Start::Known, None),
-            Start::Moved(before) => (listclock::Start::Moved, before),
+            SubscriptionStart::NoList => (listclock::Start::Empty, None),
+            SubscriptionStart::HasList => (listclock::Start::Known, None),
+            SubscriptionStart::Replaces(before) => (listclock::Start::Moved, before),
         };
-        before.iter().for_each(Following::retire);
+        before.iter().for_each(Subscription::retire);
         let rules = Rules { must_ask_in: self.must_ask_in, can_fall_silent: true };
         let (address, news, seed) = (self.address, self.news.clone(), self.seed);
         let system_calls = self.system_calls.clone();
-        Following::by(move |retired| {
+        Subscription::spawn(move |retired| {
             let clock = Clock::new(rules, start, seed, 0.0);
             let pace = news.pace();
             let epoch = Instant::now();
@@ -85,14 +85,14 @@
     /// The version that the sidecar has, 0 if the whole list is wanted. What a watch that ends has not told comes after
     /// it, so that the next one tells it.
     version: u64,
-    news: News,
+    news: DiscoveryEvents,
     clock: Clock,
     /// The clock's 0.
     epoch: Instant,
     /// Whether it may call no more.
     retired: Arc<AtomicBool>,
     /// What was followed before and is let go at the first list: the new discovery may not be up yet.
-    before: Option<Following>,
+    before: Option<Subscription>,
     /// How eagerly it is asked, where a fleet decides on it.
     pace: Option<watch::Receiver<Pace>>,
     /// Whether discovery answers, as it was told last.
@@ -142,7 +142,7 @@
 impl Watch {
     /// Calls and watches as the clock says.
     async fn keep(mut self) {
-        while !self.news.is_over() {
+        while !self.news.is_closed() {
             let due = self.clock.due().and_then(|due| self.instant(due));
             tokio::select! {
                 () = sleep_until(due.unwrap_or_else(|| Instant::now() + Duration::from_secs(60))) => {}
@@ -241,7 +241,7 @@
     /// Tells whether discovery answers, whenever that changes.
     fn reach(&mut self, reach: Reach) {
         if self.reach.replace(reach) != Some(reach) {
-            self.news.reach(reach);
+            self.news.reachability_changed(reach);
         }
     }
 
@@ -252,10 +252,10 @@
             let held = std::mem::take(&mut self.version);
             bail!("changes up to {} came after {held}", list.seq);
         }
-        let list = List { heard_before: self.heard_at, source_clock, ..list.list() };
+        let list = List { previous_contact: self.heard_at, source_clock, ..list.list() };
         self.version = list.resume_from;
         self.before = None;
-        if !self.news.listed(list) {
+        if !self.news.list_received(list) {
             bail!("the engine has ended");
         }
         Ok(())
--- a/crates/node/src/rosters/host_list.rs
+++ b/crates/node/src/rosters/host_list.rs
@@ -73,16 +73,16 @@
 impl HostList {
     /// The list in the engine's terms. Entries that cannot be read are logged, in one line, and left out.
     pub fn list(&self) -> List {
-        let mut list = List { version: self.seq, whole: self.whole, ..List::default() };
+        let mut list = List { version: self.seq, complete: self.whole, ..List::default() };
         for entry in &self.hosts {
             match entry {
                 Ok(host) => list.entries.push(host.clone().into()),
                 Err(Unreadable {
                     host: Some(name), health: Some(Health::Draining | Health::Gone), ..
                 }) => {
-                    list.leaving.push(name.clone());
+                    list.draining.push(name.clone());
                 }
-                Err(Unreadable { host: Some(name), .. }) => list.unread.push(name.clone()),
+                Err(Unreadable { host: Some(name), .. }) => list.unparsed.push(name.clone()),
                 Err(_) => {}
             }
         }
--- a/crates/node/src/rosters/host_list/tests.rs
+++ b/crates/node/src/rosters/host_list/tests.rs
@@ -16,7 +16,7 @@
     );
     let names: Vec<&str> = list.entries.iter().map(|host| &*host.host).collect();
     assert_eq!(names, ["a"]);
-    assert_eq!(list.unread, ["b", "c", "d"], "what cannot be read is not missing");
+    assert_eq!(list.unparsed, ["b", "c", "d"], "what cannot be read is not missing");
     assert_eq!((list.version, list.resume_from), (4, 0), "what was not read is asked for once more");
 }
 
@@ -27,7 +27,7 @@
         r#"{"seq":4,"hosts":[{"host":"a","dial":7,"health":"draining"},{"host":"b","health":"gone"},
         {"host":"c","health":"ready"}]}"#,
     );
-    assert_eq!((list.leaving, list.unread), (vec!["a".to_owned(), "b".to_owned()], vec!["c".to_owned()]));
+    assert_eq!((list.draining, list.unparsed), (vec!["a".to_owned(), "b".to_owned()], vec!["c".to_owned()]));
 }
 
 #[test]
@@ -46,7 +46,7 @@
         weight: 2.0,
         started_ms: 17.5,
     };
-    assert_eq!((list.entries, list.whole, list.resume_from), (vec![expected], true, 9));
+    assert_eq!((list.entries, list.complete, list.resume_from), (vec![expected], true, 9));
 }
 
 /// Guards against a process that is never ready: it asked what changed since a list that it did not have.
--- a/crates/node/src/rosters/mod.rs
+++ b/crates/node/src/rosters/mod.rs
@@ -1,4 +1,4 @@
-//! Where the list of upstreams comes from. Each source implements [`crate::engine::Roster`].
+//! Where the list of upstreams comes from. Each source implements [`crate::engine::DiscoverySource`].
 
 pub mod discovery;
 pub mod host_list;
--- a/crates/node/src/transports/http1/attempt.rs
+++ b/crates/node/src/transports/http1/attempt.rs
@@ -12,7 +12,7 @@
 use super::rules::AttemptRules;
 use super::stream::{StreamState, Withheld};
 use super::transport::{NoConnection, Shared, Source};
-use crate::engine::{Attempt, BODY_BYTES, End, Peer};
+use crate::engine::{Attempt, AttemptEnd, MAX_BODY_BYTES, UpstreamInfo};
 
 /// Why nothing was written, where rules of residency forbid it.
 const OUTSIDE: &str = "outside its regions";
@@ -24,7 +24,7 @@
     /// The engine was told.
     Told,
     /// In a way that the engine has yet to be told.
-    Ended(End),
+    Ended(AttemptEnd),
     /// The idle connection had been closed and no byte was written to it: another may be used.
     Stale,
     /// No connection could be opened, for a reason of this machine's: another try may be made.
@@ -64,15 +64,15 @@
         self: Arc<Shared>,
         mut attempt: Attempt,
         mut source: Source,
-        mut peer: Peer,
+        mut peer: UpstreamInfo,
     ) {
-        let flight = attempt.flight;
-        let mut tries = FurtherTries::new(flight.until);
+        let info = attempt.info;
+        let mut tries = FurtherTries::new(info.until);
         // Each turn uses up a connection of the pool or a further try, and there is an end to both.
         loop {
             let next = match self.attempt_once(&mut attempt, source, &peer).await {
                 ExchangeEnd::Told => return,
-                ExchangeEnd::Ended(end) => return self.reports.ended(flight, end),
+                ExchangeEnd::Ended(end) => return self.reports.attempt_ended(info, end),
                 ExchangeEnd::Stale => {
                     self.state().counts.stale += 1;
                     self.replacement(&mut attempt, &peer)
@@ -83,7 +83,7 @@
             };
             (source, peer) = match next {
                 Ok(next) => next,
-                Err(end) => return self.reports.ended(flight, *end),
+                Err(end) => return self.reports.attempt_ended(info, *end),
             };
         }
     }
@@ -93,9 +93,9 @@
         self: &Arc<Shared>,
         attempt: &mut Attempt,
         source: Source,
-        peer: &Peer,
+        peer: &UpstreamInfo,
     ) -> ExchangeEnd {
-        let flight = attempt.flight;
+        let info = attempt.info;
         let pooled = source.is_pooled();
         let connection = match self.connect_attempt(attempt, source, peer).await {
             Ok(connection) => connection,
@@ -105,10 +105,10 @@
         // Meanwhile its time may have run out, the request may have ended or the upstream may have begun to drain or to
         // live anew: what is not written yet must not be.
         let rules = AttemptRules::new(self, attempt, peer);
-        let allowed = if attempt.is_given_up() { Err(Withheld::NotWanted) } else { rules.check() };
+        let allowed = if attempt.is_cancelled() { Err(Withheld::NotWanted) } else { rules.check() };
         if let Err(reason) = allowed {
-            self.reports.ended(flight, end_of_unwritten(reason, connection.used));
-            self.keep(flight.upstream, peer.life, connection).await;
+            self.reports.attempt_ended(info, end_of_unwritten(reason, connection.used));
+            self.keep(info.upstream, peer.incarnation, connection).await;
             return ExchangeEnd::Told;
         }
         self.exchange_attempt(attempt, connection, pooled, rules).await
@@ -118,31 +118,31 @@
     fn replacement(
         self: &Arc<Shared>,
         attempt: &mut Attempt,
-        peer: &Peer,
-    ) -> Result<(Source, Peer), Box<End>> {
-        if attempt.is_given_up() {
+        peer: &UpstreamInfo,
+    ) -> Result<(Source, UpstreamInfo), Box<AttemptEnd>> {
+        if attempt.is_cancelled() {
             return Err(Box::new(end_of_unwritten(Withheld::NotWanted, true)));
         }
         let allowed = AttemptRules::new(self, attempt, peer).check();
         allowed.map_err(|reason| Box::new(end_of_unwritten(reason, true)))?;
-        let source = self.source(attempt.flight.upstream, attempt.flight.until);
-        source.ok_or_else(|| Box::new(End::Outcome(Outcome::NotSent, None)))
+        let source = self.source(attempt.info.upstream, attempt.info.until);
+        source.ok_or_else(|| Box::new(AttemptEnd::Outcome(Outcome::NotSent, None)))
     }
 
     /// Another connection for an attempt that could not open one, after a pause. It says nothing about the upstream.
     async fn after_local_failure(
         self: &Arc<Shared>,
         attempt: &mut Attempt,
-        peer: &Peer,
+        peer: &UpstreamInfo,
         tries: &mut FurtherTries,
         failure: NoConnection,
-    ) -> Result<(Source, Peer), Box<End>> {
-        let Some(pause) = tries.next_pause(self.is_another_reachable(attempt.flight.upstream)) else {
-            return Err(Box::new(End::Broken(Outcome::LocalFailure, failure.to_string())));
+    ) -> Result<(Source, UpstreamInfo), Box<AttemptEnd>> {
+        let Some(pause) = tries.next_pause(self.is_another_reachable(attempt.info.upstream)) else {
+            return Err(Box::new(AttemptEnd::Failed(Outcome::LocalFailure, failure.to_string())));
         };
         tokio::select! {
             biased;
-            _ = &mut attempt.given_up => return Err(Box::new(end_of_unwritten(Withheld::NotWanted, true))),
+            _ = &mut attempt.cancelled => return Err(Box::new(end_of_unwritten(Withheld::NotWanted, true))),
             () = sleep(pause) => {}
         }
         self.replacement(attempt, peer)
@@ -153,19 +153,19 @@
         &self,
         attempt: &mut Attempt,
         source: Source,
-        peer: &Peer,
+        peer: &UpstreamInfo,
     ) -> Result<Connection, Unconnected> {
         let window_closes = closes(attempt);
-        let until = attempt.flight.until.min(window_closes.unwrap_or(attempt.flight.until));
+        let until = attempt.info.until.min(window_closes.unwrap_or(attempt.info.until));
         let connected = tokio::select! {
             // One that is open already is not lost to an attempt that was given up.
             biased;
             connected = self.connect(source, peer, until) => connected,
-            _ = &mut attempt.given_up => return Err(Unconnected::Over),
+            _ = &mut attempt.cancelled => return Err(Unconnected::Over),
         };
         connected.map_err(|failure| {
             let window_closed = window_closes.is_some_and(|at| Instant::now() >= at);
-            if attempt.is_given_up() || window_closed {
+            if attempt.is_cancelled() || window_closed {
                 Unconnected::Over
             } else {
                 Unconnected::Failed(failure)
@@ -181,9 +181,9 @@
         pooled: bool,
         rules: AttemptRules,
     ) -> ExchangeEnd {
-        let flight = attempt.flight;
+        let info = attempt.info;
         let peer = rules.peer.clone();
-        let request = upstream_request(&attempt.forward, peer.dial, flight.until);
+        let request = upstream_request(&attempt.forward, peer.dial, info.until);
         let rested = connection.idle_since.elapsed();
         let before = connection.stream.written();
         let size = size_on_the_wire(&request, attempt.forward.body.len());
@@ -194,16 +194,16 @@
             tokio::select! {
                 biased;
                 result = exchange => result,
-                _ = &mut attempt.given_up => Err(Failure::GivenUp),
-                () = sleep_until(flight.until) => Err(Failure::TimedOut),
+                _ = &mut attempt.cancelled => Err(Failure::GivenUp),
+                () = sleep_until(info.until) => Err(Failure::TimedOut),
                 () = unfinished_at(window_closes, &progress) => Err(Failure::KeyWindowClosed),
             }
         };
         let failure = match exchanged {
             Ok(answer) => {
                 // The engine hears of the answer before the connection settles.
-                self.reports.ended(flight, End::Outcome(outcome_of(&answer), Some(answer)));
-                self.keep(flight.upstream, peer.life, connection).await;
+                self.reports.attempt_ended(info, AttemptEnd::Outcome(outcome_of(&answer), Some(answer)));
+                self.keep(info.upstream, peer.incarnation, connection).await;
                 return ExchangeEnd::Told;
             }
             Err(failure) => failure,
@@ -217,7 +217,7 @@
             return ExchangeEnd::Stale;
         }
         if pooled && matches!(failure, Failure::Broken(_)) {
-            attempt.rest_limit.broke_after(rested);
+            attempt.reuse_limit.record_break(rested);
         }
         ExchangeEnd::Ended(end_of_failure(failure, &progress, used))
     }
@@ -225,7 +225,7 @@
 
 /// When the window of an attempt's key closes, as far as another attempt has opened it.
 fn closes(attempt: &Attempt) -> Option<Instant> {
-    attempt.key_window.as_ref().and_then(|window| window.closes_for(attempt.flight.attempt))
+    attempt.idempotency_window.as_ref().and_then(|window| window.closes_at(attempt.info.attempt))
 }
 
 /// Waits until a request that has to be written whole by then is not.
@@ -240,10 +240,10 @@
 /// Waits until a connection has rested, unless the attempt is given up before.
 async fn rest(attempt: &mut Attempt, connection: &Connection) {
     let rested_at = connection.rested_at();
-    if rested_at > Instant::now() && !attempt.is_given_up() {
+    if rested_at > Instant::now() && !attempt.is_cancelled() {
         tokio::select! {
             biased;
-            _ = &mut attempt.given_up => {}
+            _ = &mut attempt.cancelled => {}
             () = sleep_until(rested_at) => {}
         }
     }
@@ -252,9 +252,9 @@
 /// The end of an attempt that has no connection.
 fn end_of_unconnected(why: Unconnected) -> ExchangeEnd {
     match why {
-        Unconnected::Over => ExchangeEnd::Ended(End::Outcome(Outcome::NotSent, None)),
+        Unconnected::Over => ExchangeEnd::Ended(AttemptEnd::Outcome(Outcome::NotSent, None)),
         Unconnected::Failed(failure) if failure.is_local() => ExchangeEnd::LocalFailure(failure),
-        Unconnected::Failed(_) => ExchangeEnd::Ended(End::Outcome(Outcome::Unreachable, None)),
+        Unconnected::Failed(_) => ExchangeEnd::Ended(AttemptEnd::Outcome(Outcome::Unreachable, None)),
     }
 }
 
@@ -265,24 +265,24 @@
 
 /// The end of an attempt of which nothing was written. Where its connection was open already, or there was none to wait
 /// for, the time that ran out was ours.
-fn end_of_unwritten(reason: Withheld, was_open: bool) -> End {
+fn end_of_unwritten(reason: Withheld, was_open: bool) -> AttemptEnd {
     match reason {
-        Withheld::TimeIsUp if was_open => End::Outcome(Outcome::NotSent, None),
-        Withheld::NotWanted => End::Outcome(Outcome::NotSent, None),
-        Withheld::OutsideRegions => End::Broken(Outcome::NotSent, OUTSIDE.to_owned()),
-        Withheld::KeyWindowClosed => End::Broken(Outcome::NotSent, KEY_WINDOW_CLOSED.to_owned()),
+        Withheld::TimeIsUp if was_open => AttemptEnd::Outcome(Outcome::NotSent, None),
+        Withheld::NotWanted => AttemptEnd::Outcome(Outcome::NotSent, None),
+        Withheld::OutsideRegions => AttemptEnd::Failed(Outcome::NotSent, OUTSIDE.to_owned()),
+        Withheld::KeyWindowClosed => AttemptEnd::Failed(Outcome::NotSent, KEY_WINDOW_CLOSED.to_owned()),
         Withheld::TimeIsUp | Withheld::NotServing | Withheld::NoExchange => {
-            End::Outcome(Outcome::Unreachable, None)
+            AttemptEnd::Outcome(Outcome::Unreachable, None)
         }
-        Withheld::Closed => End::Broken(Outcome::Unreachable, "closed before the request".to_owned()),
+        Withheld::Closed => AttemptEnd::Failed(Outcome::Unreachable, "closed before the request".to_owned()),
         Withheld::UnexpectedBytes => {
-            End::Broken(Outcome::Unreachable, "bytes came before the request".to_owned())
+            AttemptEnd::Failed(Outcome::Unreachable, "bytes came before the request".to_owned())
         }
     }
 }
 
 /// The end of an attempt whose connection is closed, by what was written of it.
-fn end_of_failure(failure: Failure, progress: &Progress, used: bool) -> End {
+fn end_of_failure(failure: Failure, progress: &Progress, used: bool) -> AttemptEnd {
     if let (Failure::Broken(_), true, Some(reason)) =
         (&failure, progress.is_unwritten(), progress.stream.withheld())
     {
@@ -290,52 +290,56 @@
     }
     match failure {
         Failure::TimedOut if used && progress.is_unwritten() => end_of_unwritten(Withheld::TimeIsUp, used),
-        Failure::GivenUp if progress.is_unwritten() => End::Outcome(Outcome::NotSent, None),
+        Failure::GivenUp if progress.is_unwritten() => AttemptEnd::Outcome(Outcome::NotSent, None),
         Failure::KeyWindowClosed if progress.is_unwritten() => {
             end_of_unwritten(Withheld::KeyWindowClosed, used)
         }
         // The upstream says that it never ran.
         Failure::Early(answer) if outcome_of(&answer) == Outcome::Full => {
-            End::Outcome(Outcome::Full, Some(answer))
+            AttemptEnd::Outcome(Outcome::Full, Some(answer))
         }
-        Failure::GivenUp => End::Outcome(Outcome::Cancelled, None),
+        Failure::GivenUp => AttemptEnd::Outcome(Outcome::Cancelled, None),
         failure if progress.is_whole() => end_of_written(failure, used),
         // Its client left while it was written; the rest never will be.
         Failure::Broken(_) if progress.stream.withheld() == Some(Withheld::NotWanted) => {
-            End::Outcome(Outcome::Cancelled, None)
+            AttemptEnd::Outcome(Outcome::Cancelled, None)
         }
         failure => end_of_partly_written(failure),
     }
 }
 
 /// The end of an attempt whose last byte was written: it may have run.
-fn end_of_written(failure: Failure, used: bool) -> End {
+fn end_of_written(failure: Failure, used: bool) -> AttemptEnd {
     match failure {
         Failure::Broken(error) => {
             let what = if used { "a used connection" } else { "a new connection" };
-            End::Broken(Outcome::Reset, format!("{what} broke: {}", explain(&error)))
+            AttemptEnd::Failed(Outcome::Reset, format!("{what} broke: {}", explain(&error)))
         }
         Failure::Early(_) => {
-            End::Broken(Outcome::Reset, "answered before the request was written".to_owned())
+            AttemptEnd::Failed(Outcome::Reset, "answered before the request was written".to_owned())
         }
-        Failure::TooLong => End::Broken(Outcome::Error, format!("an answer longer than {BODY_BYTES} bytes")),
-        Failure::TimedOut => End::Outcome(Outcome::TimedOut, None),
-        Failure::GivenUp => End::Outcome(Outcome::Cancelled, None),
-        Failure::KeyWindowClosed => End::Broken(Outcome::Cancelled, KEY_WINDOW_CLOSED.to_owned()),
+        Failure::TooLong => {
+            AttemptEnd::Failed(Outcome::Error, format!("an answer longer than {MAX_BODY_BYTES} bytes"))
+        }
+        Failure::TimedOut => AttemptEnd::Outcome(Outcome::TimedOut, None),
+        Failure::GivenUp => AttemptEnd::Outcome(Outcome::Cancelled, None),
+        Failure::KeyWindowClosed => AttemptEnd::Failed(Outcome::Cancelled, KEY_WINDOW_CLOSED.to_owned()),
     }
 }
 
 /// The end of an attempt whose last byte was never written, and now never will be.
-fn end_of_partly_written(failure: Failure) -> End {
+fn end_of_partly_written(failure: Failure) -> AttemptEnd {
     match failure {
-        Failure::Broken(error) => End::Broken(Outcome::Unreachable, explain(&error)),
+        Failure::Broken(error) => AttemptEnd::Failed(Outcome::Unreachable, explain(&error)),
         Failure::Early(answer) => {
             let status = answer.status.as_u16();
             let reason = format!("answered {status} before the request was written");
-            End::Broken(Outcome::Unreachable, reason)
+            AttemptEnd::Failed(Outcome::Unreachable, reason)
+        }
+        Failure::TooLong => {
+            AttemptEnd::Failed(Outcome::Unreachable, "a long answer before the request".to_owned())
         }
-        Failure::TooLong => End::Broken(Outcome::Unreachable, "a long answer before the request".to_owned()),
-        Failure::KeyWindowClosed => End::Broken(Outcome::Unreachable, KEY_WINDOW_CLOSED.to_owned()),
-        Failure::TimedOut | Failure::GivenUp => End::Outcome(Outcome::Unreachable, None),
+        Failure::KeyWindowClosed => AttemptEnd::Failed(Outcome::Unreachable, KEY_WINDOW_CLOSED.to_owned()),
+        Failure::TimedOut | Failure::GivenUp => AttemptEnd::Outcome(Outcome::Unreachable, None),
     }
 }
--- a/crates/node/src/transports/http1/exchange.rs
+++ b/crates/node/src/transports/http1/exchange.rs
@@ -13,7 +13,7 @@
 
 use super::connection::Connection;
 use super::stream::WriteRules;
-use crate::engine::{Answer, BODY_BYTES, Forward};
+use crate::engine::{Answer, ForwardedRequest, MAX_BODY_BYTES};
 
 /// So much less time than is left is told to upstreams. What is told may exceed what the client has left by 150 ms, all
 /// of which a hold-up before the write may take.
@@ -58,7 +58,7 @@
 /// Reads the rest of an answer. One with no length ends with its connection; where that is reset, it has no end.
 async fn read_answer(response: Response<Incoming>) -> Result<Answer, Failure> {
     let (head, body) = response.into_parts();
-    match Limited::new(body, BODY_BYTES).collect().await {
+    match Limited::new(body, MAX_BODY_BYTES).collect().await {
         Ok(body) => Ok(Answer { status: head.status, headers: head.headers, body: body.to_bytes() }),
         // What is not the body's own error is its length.
         Err(error) => Err(error.downcast().map_or(Failure::TooLong, |error| Failure::Broken(*error))),
@@ -97,7 +97,11 @@
 }
 
 /// The request as it goes to an upstream.
-pub fn upstream_request(forward: &Forward, dial: SocketAddr, until: Instant) -> Request<Full<Bytes>> {
+pub fn upstream_request(
+    forward: &ForwardedRequest,
+    dial: SocketAddr,
+    until: Instant,
+) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(forward.body.clone()));
     *request.method_mut() = forward.method.clone();
     *request.uri_mut() = forward.target.clone();
--- a/crates/node/src/transports/http1/probe.rs
+++ b/crates/node/src/transports/http1/probe.rs
@@ -40,7 +40,7 @@
                 },
             }
         }
-        self.reports.probed(upstream, None);
+        self.reports.probe_ended(upstream, None);
     }
 
     async fn probe_once(&self, upstream: UpstreamId, until: Instant) -> ProbeEnd {
@@ -59,7 +59,7 @@
             timeout_at(until, exchange(&mut connection, request, Box::new(Always), complete_at)).await;
         if let Ok(Ok(answer)) = exchanged {
             self.tell_probed(upstream, answer);
-            self.keep(upstream, peer.life, connection).await;
+            self.keep(upstream, peer.incarnation, connection).await;
             return ProbeEnd::Answered;
         }
         let stream = connection.stream.clone();
@@ -69,7 +69,7 @@
     }
 
     fn tell_probed(&self, upstream: UpstreamId, answer: Answer) {
-        self.reports.probed(upstream, Some(answer));
+        self.reports.probe_ended(upstream, Some(answer));
     }
 }
 
--- a/crates/node/src/transports/http1/rules.rs
+++ b/crates/node/src/transports/http1/rules.rs
@@ -6,27 +6,27 @@
 
 use super::stream::{Withheld, WriteRules};
 use super::transport::Shared;
-use crate::engine::{Attempt, Flight, Interest, KeyWindow, Pass, Peer};
+use crate::engine::{Attempt, AttemptInfo, IdempotencyWindow, Interest, UpstreamInfo, ZoneCheck};
 
 /// Whether an attempt may be written. Asked before it takes the connection, and again at the writes themselves.
 pub(super) struct AttemptRules {
     shared: Arc<Shared>,
-    flight: Flight,
+    info: AttemptInfo,
     interest: Interest,
-    pass: Option<Pass>,
-    key_window: Option<Arc<KeyWindow>>,
+    pass: Option<ZoneCheck>,
+    idempotency_window: Option<Arc<IdempotencyWindow>>,
     /// The upstream as it was when its connection was chosen.
-    pub(super) peer: Peer,
+    pub(super) peer: UpstreamInfo,
 }
 
 impl AttemptRules {
-    pub(super) fn new(shared: &Arc<Shared>, attempt: &Attempt, peer: &Peer) -> AttemptRules {
+    pub(super) fn new(shared: &Arc<Shared>, attempt: &Attempt, peer: &UpstreamInfo) -> AttemptRules {
         AttemptRules {
             shared: shared.clone(),
-            flight: attempt.flight,
+            info: attempt.info,
             interest: attempt.interest.clone(),
-            pass: attempt.pass.clone(),
-            key_window: attempt.key_window.clone(),
+            pass: attempt.zone_check.clone(),
+            idempotency_window: attempt.idempotency_window.clone(),
             peer: peer.clone(),
         }
     }
@@ -36,15 +36,15 @@
         if !self.interest.is_wanted() {
             return Err(Withheld::NotWanted);
         }
-        if Instant::now() >= self.flight.until {
+        if Instant::now() >= self.info.until {
             return Err(Withheld::TimeIsUp);
         }
-        let Some(now) = self.shared.peer(self.flight.upstream) else { return Err(Withheld::NotServing) };
-        if now.life != self.peer.life || !now.serving {
+        let Some(now) = self.shared.peer(self.info.upstream) else { return Err(Withheld::NotServing) };
+        if now.incarnation != self.peer.incarnation || !now.serving {
             return Err(Withheld::NotServing);
         }
         // A list may have moved the name to another zone: neither where it was nor where it is may be outside.
-        let lets = |peer: &Peer| self.pass.as_ref().is_none_or(|pass| pass.lets(peer));
+        let lets = |peer: &UpstreamInfo| self.pass.as_ref().is_none_or(|pass| pass.allows(peer));
         if !lets(&self.peer) || !lets(&now) {
             return Err(Withheld::OutsideRegions);
         }
@@ -53,8 +53,8 @@
 
     /// Whether the window of its key, if it has one, is open.
     fn key_window_allows(&self) -> Result<(), Withheld> {
-        let Some(window) = &self.key_window else { return Ok(()) };
-        window.allows(self.flight.attempt, Instant::now()).map_err(|_| Withheld::KeyWindowClosed)
+        let Some(window) = &self.idempotency_window else { return Ok(()) };
+        window.allows_write(self.info.attempt, Instant::now()).map_err(|_| Withheld::KeyWindowClosed)
     }
 
     /// Whether its client is there now. Asked last, after the clock was read: the process may have been held up there
@@ -67,8 +67,8 @@
 impl WriteRules for AttemptRules {
     fn begin(&self) -> Result<(), Withheld> {
         self.check()?;
-        if let Some(window) = &self.key_window {
-            let begun = window.begin(self.flight.attempt, Instant::now());
+        if let Some(window) = &self.idempotency_window {
+            let begun = window.begin_write(self.info.attempt, Instant::now());
             begun.map_err(|_| Withheld::KeyWindowClosed)?;
         }
         self.client_is_there()
--- a/crates/node/src/transports/http1/tests/answers.rs
+++ b/crates/node/src/transports/http1/tests/answers.rs
@@ -5,7 +5,7 @@
 use tokio::sync::Semaphore;
 
 use super::*;
-use crate::engine::BODY_BYTES;
+use crate::engine::MAX_BODY_BYTES;
 use crate::transports::http1::connection::Connection;
 use crate::transports::http1::exchange::{exchange, size_on_the_wire, told_ms, upstream_request};
 use crate::transports::http1::probe::Always;
@@ -34,13 +34,13 @@
 async fn outcome_of(bytes: &[u8], ending: Ending) -> (Outcome, Option<Bytes>) {
     let (transport, mut seen, listener) = one_upstream(settings()).await;
     let (mut attempt, _wanted) = attempt();
-    attempt.flight.until = Instant::now() + Duration::from_millis(300);
+    attempt.info.until = Instant::now() + Duration::from_millis(300);
     transport.attempt(attempt);
     let mut stream = accept(&listener).await;
     read_head(&mut stream).await;
     write(&mut stream, bytes).await;
     let kept = ending.apply_to(stream);
-    let (outcome, answer) = seen.answer().await;
+    let (outcome, answer) = seen.next_answer().await;
     drop(kept);
     assert!(!is_connected_to(listener), "a request that may have run is not sent again");
     (outcome, answer.map(|answer| answer.body))
@@ -103,7 +103,7 @@
 #[tokio::test]
 async fn an_answer_that_is_too_long_is_an_error() {
     let mut bytes = b"HTTP/1.1 200 OK\r\n\r\n".to_vec();
-    bytes.resize(bytes.len() + BODY_BYTES + 1, b'x');
+    bytes.resize(bytes.len() + MAX_BODY_BYTES + 1, b'x');
     assert_eq!(outcome_of(&bytes, Ending::KeptOpen).await, (Outcome::Error, None));
 }
 
@@ -116,11 +116,11 @@
     read_head(&mut stream).await;
     write(&mut stream, bytes).await;
     let kept = ending.apply_to(stream);
-    let outcome = seen.answer().await.0;
+    let outcome = seen.next_answer().await.0;
     if let Some(mut stream) = kept {
         assert!(bytes_until_closed(&mut stream).await < HUGE_BODY, "the rest is never written");
     }
-    assert_eq!(transport.idle(), 0, "its connection is not used again");
+    assert_eq!(transport.idle_connections(), 0, "its connection is not used again");
     outcome
 }
 
@@ -143,7 +143,7 @@
     let mut stream = accept(&listener).await;
     read_head(&mut stream).await;
     wanted.give_up = None;
-    assert_eq!(seen.answer().await.0, Outcome::Cancelled);
+    assert_eq!(seen.next_answer().await.0, Outcome::Cancelled);
     assert!(bytes_until_closed(&mut stream).await < HUGE_BODY);
 }
 
@@ -168,7 +168,7 @@
             headers.append(HeaderName::from_static("x-attrs"), HeaderValue::from_static(value));
         }
         let target = Uri::from_static(target);
-        let forward = Forward { method, target, headers, body: Bytes::from_static(body.as_bytes()) };
+        let forward = ForwardedRequest { method, target, headers, body: Bytes::from_static(body.as_bytes()) };
         let request = upstream_request(&forward, dial, until);
         let before = connection.stream.written();
         let size = size_on_the_wire(&request, body.len());
--- a/crates/node/src/transports/http1/tests/before_the_first_byte.rs
+++ b/crates/node/src/transports/http1/tests/before_the_first_byte.rs
@@ -8,16 +8,16 @@
 use tokio::io::AsyncReadExt;
 
 use super::*;
-use crate::engine::{Counts, Gate, Pass, Presence};
+use crate::engine::{ClientConnection, ConnectionCounts, ZoneCheck, ZonePolicy};
 
 #[tokio::test]
 async fn an_attempt_for_nobody_ends_once_and_was_not_sent() {
     let (transport, mut seen) = transport_with(settings());
     let (attempt, _wanted) = attempt();
     transport.attempt(attempt);
-    assert_eq!(seen.end().await, (RequestId(2), Outcome::NotSent));
+    assert_eq!(seen.next_end().await, (RequestId(2), Outcome::NotSent));
     drop(transport);
-    assert!(seen.is_over().await, "there is one end");
+    assert!(seen.is_closed().await, "there is one end");
 }
 
 /// What was decided while a connection came up is heeded once it is up: nothing is written.
@@ -33,7 +33,9 @@
             "answered" => wanted.answer_owed = None,
             "given up" => wanted.give_up = None,
             "client left" => wanted.client = None,
-            "drained" => transport.update_upstream(UPSTREAM, Peer { serving: false, ..peer(dial, 0) }),
+            "drained" => {
+                transport.update_upstream(UPSTREAM, UpstreamInfo { serving: false, ..peer(dial, 0) })
+            }
             "restarted" => transport.update_upstream(UPSTREAM, peer(dial, 1)),
             _ => transport.remove_upstream(UPSTREAM),
         }
@@ -41,7 +43,7 @@
             "answered" | "given up" | "client left" => Outcome::NotSent,
             _ => Outcome::Unreachable,
         };
-        assert_eq!(seen.end().await, (RequestId(2), expected), "{why}");
+        assert_eq!(seen.next_end().await, (RequestId(2), expected), "{why}");
         // A connection that came up is closed without a byte.
         transport.remove_upstream(UPSTREAM);
         if why != "given up" {
@@ -54,8 +56,8 @@
 /// Lets requests go to one zone.
 struct Only(&'static str);
 
-impl Gate for Only {
-    fn lets(&self, _: ClassId, _: TenantId, zone: &str) -> bool {
+impl ZonePolicy for Only {
+    fn allows(&self, _: ClassId, _: TenantId, zone: &str) -> bool {
         zone == self.0
     }
 }
@@ -67,12 +69,13 @@
         let (transport, mut seen, listener) = one_upstream(settings()).await;
         let dial = listener.local_addr().expect("an address");
         let (mut attempt, _wanted) = attempt();
-        attempt.pass = Some(Pass { gate: Arc::new(Only(gate)), class: ClassId(0), tenant: TenantId(0) });
+        attempt.zone_check =
+            Some(ZoneCheck { policy: Arc::new(Only(gate)), class: ClassId(0), tenant: TenantId(0) });
         transport.attempt(attempt);
         if moves {
-            transport.update_upstream(UPSTREAM, Peer { zone: Some("z2".into()), ..peer(dial, 0) });
+            transport.update_upstream(UPSTREAM, UpstreamInfo { zone: Some("z2".into()), ..peer(dial, 0) });
         }
-        assert_eq!(seen.end().await, (RequestId(2), Outcome::NotSent), "{gate}");
+        assert_eq!(seen.next_end().await, (RequestId(2), Outcome::NotSent), "{gate}");
         transport.remove_upstream(UPSTREAM);
         let mut stream = accept(&listener).await;
         assert_eq!(stream.read(&mut [0]).await.ok(), Some(0), "{gate}");
@@ -85,9 +88,9 @@
     transport.update_upstream(UPSTREAM, peer(SocketAddr::from(([127, 0, 0, 1], 9)), 0));
     let (attempt, _wanted) = attempt();
     transport.attempt(attempt);
-    assert_eq!(seen.end().await, (RequestId(2), Outcome::NotSent));
-    assert_eq!(transport.counts(), Counts { no_descriptor: 1, ..Counts::default() });
-    assert_eq!(transport.counts(), Counts::default(), "they are told once");
+    assert_eq!(seen.next_end().await, (RequestId(2), Outcome::NotSent));
+    assert_eq!(transport.take_counts(), ConnectionCounts { no_descriptor: 1, ..ConnectionCounts::default() });
+    assert_eq!(transport.take_counts(), ConnectionCounts::default(), "they are told once");
 }
 
 /// A client that the engine has not heard of yet: no connection is opened for it.
@@ -97,7 +100,7 @@
     let (attempt, mut wanted) = attempt();
     wanted.client = None;
     transport.attempt(attempt);
-    assert_eq!(seen.end().await, (RequestId(2), Outcome::NotSent));
+    assert_eq!(seen.next_end().await, (RequestId(2), Outcome::NotSent));
     assert!(!is_connected_to(listener));
 }
 
@@ -117,11 +120,11 @@
                 Outcome::NotSent
             }
             _ => {
-                transport.update_upstream(UPSTREAM, Peer { serving: false, ..peer(dial, 0) });
+                transport.update_upstream(UPSTREAM, UpstreamInfo { serving: false, ..peer(dial, 0) });
                 Outcome::Unreachable
             }
         };
-        assert_eq!(seen.end().await, (RequestId(2), expected), "{why}");
+        assert_eq!(seen.next_end().await, (RequestId(2), expected), "{why}");
         assert!(!is_connected_to(listener), "{why}");
     }
 }
@@ -132,8 +135,8 @@
     is_closed: AtomicBool,
 }
 
-impl Presence for Socket {
-    fn has_left(&self) -> bool {
+impl ClientConnection for Socket {
+    fn has_disconnected(&self) -> bool {
         self.is_closed.load(Ordering::Relaxed)
     }
 }
@@ -141,9 +144,9 @@
 /// An attempt for a client whose connection is closed, or may yet be.
 fn for_client((mut attempt, wanted): (Attempt, Wanted), is_closed: bool) -> (Attempt, Wanted, Arc<Socket>) {
     let client = Arc::new(Socket { is_closed: is_closed.into() });
-    let task: Arc<dyn Presence> = client.clone();
+    let task: Arc<dyn ClientConnection> = client.clone();
     let owed = wanted.answer_owed.as_ref().expect("an answer is owed");
-    attempt.interest = Interest::until_answered(owed).while_client_holds(Arc::downgrade(&task));
+    attempt.interest = Interest::until_answered(owed).while_client_waits(Arc::downgrade(&task));
     (attempt, wanted, client)
 }
 
@@ -153,7 +156,7 @@
     let (attempt, _wanted, _client) = for_client(attempt(), true);
     transport.attempt(attempt);
     let mut stream = accept(&listener).await;
-    assert_eq!(seen.end().await, (RequestId(2), Outcome::NotSent));
+    assert_eq!(seen.next_end().await, (RequestId(2), Outcome::NotSent));
     assert_eq!(bytes_until_closed(&mut stream).await, 0);
 }
 
@@ -163,7 +166,7 @@
     let mut stream = pooled_connection(&transport, &mut seen, &listener).await;
     let (attempt, _wanted, _client) = for_client(attempt(), true);
     transport.attempt(attempt);
-    assert_eq!(seen.answer().await.0, Outcome::NotSent);
+    assert_eq!(seen.next_answer().await.0, Outcome::NotSent);
     assert_eq!(bytes_until_closed(&mut stream).await, 0);
 }
 
@@ -176,5 +179,5 @@
     read_head(&mut stream).await;
     client.is_closed.store(true, Ordering::Relaxed);
     assert!(bytes_until_closed(&mut stream).await < HUGE_BODY);
-    assert_eq!(seen.end().await, (RequestId(2), Outcome::Cancelled));
+    assert_eq!(seen.next_end().await, (RequestId(2), Outcome::Cancelled));
 }
--- a/crates/node/src/transports/http1/tests/connections.rs
+++ b/crates/node/src/transports/http1/tests/connections.rs
@@ -40,7 +40,7 @@
     transport.update_upstream(UPSTREAM, peer(hanging.address, 0));
     let (attempt, _wanted) = attempt();
     transport.attempt(attempt);
-    assert_eq!(seen.answer().await.0, Outcome::Unreachable);
+    assert_eq!(seen.next_answer().await.0, Outcome::Unreachable);
     assert_eq!(transport.shared.permits.available_permits(), 2);
 }
 
@@ -54,7 +54,7 @@
     tokio::task::yield_now().await;
     assert_eq!(transport.shared.permits.available_permits(), 1);
     wanted.give_up = None;
-    assert_eq!(seen.answer().await.0, Outcome::NotSent);
+    assert_eq!(seen.next_answer().await.0, Outcome::NotSent);
     assert_eq!(transport.shared.permits.available_permits(), 2);
 }
 
@@ -65,15 +65,15 @@
     let (attempt, mut wanted) = attempt();
     transport.attempt(attempt);
     wanted.answer_owed = None;
-    assert_eq!(seen.answer().await.0, Outcome::NotSent);
+    assert_eq!(seen.next_answer().await.0, Outcome::NotSent);
     until_idle(&transport, 1).await;
     let (attempt, _wanted) = super::attempt();
     transport.attempt(attempt);
     let mut stream = accept(&listener).await;
     read_head(&mut stream).await;
     write(&mut stream, OK_FIRST).await;
-    assert_eq!(seen.answer().await.0, Outcome::Ok);
-    assert_eq!(transport.counts().reused, 1);
+    assert_eq!(seen.next_answer().await.0, Outcome::Ok);
+    assert_eq!(transport.take_counts().reused, 1);
 }
 
 /// A dropped connection keeps its permit until its socket is closed.
@@ -103,12 +103,12 @@
     let other_upstream = UpstreamId(8);
     transport.update_upstream(other_upstream, peer(other.local_addr().expect("an address"), 0));
     let (mut attempt, _wanted) = attempt();
-    attempt.flight.upstream = other_upstream;
+    attempt.info.upstream = other_upstream;
     transport.attempt(attempt);
     let mut stream = accept(&other).await;
     assert_eq!(bytes_until_closed(&mut idle).await, 0);
     read_head(&mut stream).await;
     write(&mut stream, OK_SECOND).await;
-    assert_eq!(seen.answer().await.0, Outcome::Ok);
-    assert_eq!(transport.counts().no_descriptor, 0);
+    assert_eq!(seen.next_answer().await.0, Outcome::Ok);
+    assert_eq!(transport.take_counts().no_descriptor, 0);
 }
--- a/crates/node/src/transports/http1/tests/key_window.rs
+++ b/crates/node/src/transports/http1/tests/key_window.rs
@@ -3,7 +3,7 @@
 use sagemast::api::Outcome;
 
 use super::*;
-use crate::engine::KeyWindow;
+use crate::engine::IdempotencyWindow;
 
 const WINDOW: Duration = Duration::from_millis(200);
 const OTHER: AttemptNo = AttemptNo(1);
@@ -12,15 +12,15 @@
 #[tokio::test]
 async fn nothing_is_written_once_the_window_closed_while_it_connected() {
     let (transport, mut seen, listener) = one_upstream(settings()).await;
-    let window = Arc::new(KeyWindow::new(WINDOW));
+    let window = Arc::new(IdempotencyWindow::new(WINDOW));
     let (mut attempt, _wanted) = attempt();
-    attempt.key_window = Some(window.clone());
+    attempt.idempotency_window = Some(window.clone());
     let long_ago = Instant::now() - WINDOW;
     transport.attempt(attempt);
     // It connects while no other attempt binds it.
     tokio::task::yield_now().await;
-    window.begin(OTHER, long_ago).expect("the first to begin");
-    assert_eq!(seen.answer().await.0, Outcome::NotSent);
+    window.begin_write(OTHER, long_ago).expect("the first to begin");
+    assert_eq!(seen.next_answer().await.0, Outcome::NotSent);
     transport.remove_upstream(UPSTREAM);
     assert_eq!(bytes_until_closed(&mut accept(&listener).await).await, 0);
 }
@@ -31,25 +31,25 @@
     let (transport, mut seen) = transport_with(settings());
     let hanging = super::connections::HangingUpstream::new();
     transport.update_upstream(UPSTREAM, peer(hanging.address, 0));
-    let window = Arc::new(KeyWindow::new(WINDOW));
-    window.begin(OTHER, Instant::now()).expect("the first to begin");
+    let window = Arc::new(IdempotencyWindow::new(WINDOW));
+    window.begin_write(OTHER, Instant::now()).expect("the first to begin");
     let (mut attempt, _wanted) = attempt();
-    attempt.key_window = Some(window);
+    attempt.idempotency_window = Some(window);
     transport.attempt(attempt);
-    assert_eq!(seen.answer().await.0, Outcome::NotSent);
+    assert_eq!(seen.next_answer().await.0, Outcome::NotSent);
 }
 
 /// A write that blocks while the window closes: the rest of the request is never written.
 #[tokio::test]
 async fn a_request_is_written_whole_within_the_window_or_not_at_all() {
     let (transport, mut seen, listener) = one_upstream(settings()).await;
-    let window = Arc::new(KeyWindow::new(WINDOW));
-    window.begin(OTHER, Instant::now()).expect("the first to begin");
+    let window = Arc::new(IdempotencyWindow::new(WINDOW));
+    window.begin_write(OTHER, Instant::now()).expect("the first to begin");
     let (mut attempt, _wanted) = huge_attempt();
-    attempt.key_window = Some(window);
+    attempt.idempotency_window = Some(window);
     transport.attempt(attempt);
     let mut stream = accept(&listener).await;
-    assert_eq!(seen.answer().await.0, Outcome::Unreachable);
+    assert_eq!(seen.next_answer().await.0, Outcome::Unreachable);
     assert!(bytes_until_closed(&mut stream).await < HUGE_BODY);
 }
 
@@ -57,13 +57,13 @@
 #[tokio::test]
 async fn a_written_attempt_binds_the_others() {
     let (transport, mut seen, listener) = one_upstream(settings()).await;
-    let window = Arc::new(KeyWindow::new(WINDOW));
+    let window = Arc::new(IdempotencyWindow::new(WINDOW));
     let (mut attempt, _wanted) = attempt();
-    attempt.key_window = Some(window.clone());
+    attempt.idempotency_window = Some(window.clone());
     transport.attempt(attempt);
     let mut stream = accept(&listener).await;
     read_head(&mut stream).await;
-    assert!(window.closes_for(OTHER).is_some());
+    assert!(window.closes_at(OTHER).is_some());
     write(&mut stream, OK_FIRST).await;
-    assert_eq!(seen.answer().await.0, Outcome::Ok);
+    assert_eq!(seen.next_answer().await.0, Outcome::Ok);
 }
--- a/crates/node/src/transports/http1/tests/local_failures.rs
+++ b/crates/node/src/transports/http1/tests/local_failures.rs
@@ -20,9 +20,9 @@
     transport.update_upstream(UPSTREAM, peer(UNROUTABLE, 0));
     let (attempt, _wanted) = attempt();
     transport.attempt(attempt);
-    assert_eq!(seen.answer().await.0, Outcome::LocalFailure);
+    assert_eq!(seen.next_answer().await.0, Outcome::LocalFailure);
     assert_eq!(transport.shared.permits.available_permits(), 2);
-    assert!(transport.counts().opened > 1, "it was tried more than once");
+    assert!(transport.take_counts().opened > 1, "it was tried more than once");
 }
 
 #[tokio::test]
@@ -31,8 +31,8 @@
     drop(listener);
     let (attempt, _wanted) = attempt();
     transport.attempt(attempt);
-    assert_eq!(seen.answer().await.0, Outcome::Unreachable);
-    assert_eq!(transport.counts().opened, 1);
+    assert_eq!(seen.next_answer().await.0, Outcome::Unreachable);
+    assert_eq!(transport.take_counts().opened, 1);
 }
 
 #[tokio::test]
@@ -47,7 +47,7 @@
     let mut stream = accept(&listener).await;
     read_head(&mut stream).await;
     write(&mut stream, OK_FIRST).await;
-    assert_eq!(seen.answer().await.0, Outcome::Ok);
+    assert_eq!(seen.next_answer().await.0, Outcome::Ok);
     assert!(!is_connected_to(listener), "it is sent once");
 }
 
@@ -61,7 +61,7 @@
     let_tasks_run().await;
     wanted.give_up = None;
     transport.update_upstream(UPSTREAM, peer(listener.local_addr().expect("an address"), 0));
-    assert_eq!(seen.answer().await.0, Outcome::NotSent);
+    assert_eq!(seen.next_answer().await.0, Outcome::NotSent);
     assert!(!is_connected_to(listener));
     assert_eq!(transport.shared.permits.available_permits(), 2);
 }
@@ -77,5 +77,5 @@
     let mut stream = accept(&listener).await;
     read_head(&mut stream).await;
     write(&mut stream, OK_SECOND).await;
-    assert_eq!(seen.probed().await.expect("an answer").body, "second");
+    assert_eq!(seen.next_probe_answer().await.expect("an answer").body, "second");
 }
--- a/crates/node/src/transports/http1/tests/mod.rs
+++ b/crates/node/src/transports/http1/tests/mod.rs
@@ -24,7 +24,8 @@
 
 use super::{Http1, Settings};
 use crate::engine::{
-    Attempt, Flight, Forward, Interest, Peer, RequestNames, RestLimit, Seen, Transport, Ways,
+    Attempt, AttemptInfo, EngineChannels, ForwardedRequest, Interest, RequestNames, ReuseLimit, TestEvents,
+    Transport, UpstreamInfo,
 };
 use crate::socket::{Kernel, SystemCalls};
 
@@ -49,17 +50,17 @@
 }
 
 /// A transport, and what it tells.
-fn transport_with(settings: Settings) -> (Http1, Seen) {
-    let ways = Ways::new(RequestNames { classes: Vec::new(), tenants: Vec::new() });
-    (Http1::new(settings, kernel(), ways.reports), ways.inbox.seen())
+fn transport_with(settings: Settings) -> (Http1, TestEvents) {
+    let ways = EngineChannels::new(RequestNames { classes: Vec::new(), tenants: Vec::new() });
+    (Http1::new(settings, kernel(), ways.transport_events), ways.inbox.into_test_events())
 }
 
-fn peer(dial: SocketAddr, life: u64) -> Peer {
-    Peer { host: "a".into(), dial, life, zone: Some("z1".into()), serving: true }
+fn peer(dial: SocketAddr, incarnation: u64) -> UpstreamInfo {
+    UpstreamInfo { host: "a".into(), dial, incarnation, zone: Some("z1".into()), serving: true }
 }
 
 /// A transport that knows one upstream, whose listener it is.
-async fn one_upstream(settings: Settings) -> (Http1, Seen, TcpListener) {
+async fn one_upstream(settings: Settings) -> (Http1, TestEvents, TcpListener) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let (transport, seen) = transport_with(settings);
     transport.update_upstream(UPSTREAM, peer(listener.local_addr().expect("an address"), 0));
@@ -74,25 +75,26 @@
 }
 
 fn attempt_with(method: Method, body: Bytes) -> (Attempt, Wanted) {
-    let forward = Forward { method, target: Uri::from_static("/fetch"), headers: HeaderMap::new(), body };
-    let (give_up, given_up) = oneshot::channel();
+    let forward =
+        ForwardedRequest { method, target: Uri::from_static("/fetch"), headers: HeaderMap::new(), body };
+    let (give_up, cancelled) = oneshot::channel();
     let (answer_owed, client) = (Arc::new(()), Arc::new(()));
-    let flight = Flight {
+    let info = AttemptInfo {
         request: RequestId(2),
         attempt: AttemptNo(0),
         upstream: UPSTREAM,
         until: Instant::now() + Duration::from_secs(10),
     };
     let task: Weak<()> = Arc::downgrade(&client);
-    let interest = Interest::until_answered(&answer_owed).while_client_holds(task);
+    let interest = Interest::until_answered(&answer_owed).while_client_waits(task);
     let attempt = Attempt {
-        flight,
+        info,
         forward: Arc::new(forward),
-        given_up,
+        cancelled,
         interest,
-        key_window: None,
-        pass: None,
-        rest_limit: RestLimit::default(),
+        idempotency_window: None,
+        zone_check: None,
+        reuse_limit: ReuseLimit::default(),
     };
     let wanted = Wanted { give_up: Some(give_up), answer_owed: Some(answer_owed), client: Some(client) };
     (attempt, wanted)
@@ -153,22 +155,22 @@
 /// Waits until the transport keeps so many idle connections.
 async fn until_idle(transport: &Http1, count: usize) {
     for _ in 0..10_000 {
-        if transport.idle() == count {
+        if transport.idle_connections() == count {
             return;
         }
         tokio::task::yield_now().await;
     }
-    panic!("{} connections are idle", transport.idle());
+    panic!("{} connections are idle", transport.idle_connections());
 }
 
 /// Serves one request, after which the transport keeps the connection.
-async fn pooled_connection(transport: &Http1, seen: &mut Seen, listener: &TcpListener) -> TcpStream {
+async fn pooled_connection(transport: &Http1, seen: &mut TestEvents, listener: &TcpListener) -> TcpStream {
     let (attempt, _wanted) = attempt();
     transport.attempt(attempt);
     let mut stream = accept(listener).await;
     read_head(&mut stream).await;
     write(&mut stream, OK_FIRST).await;
-    let (_, answer) = seen.answer().await;
+    let (_, answer) = seen.next_answer().await;
     assert_eq!(answer.expect("an answer").body, "first");
     until_idle(transport, 1).await;
     stream
--- a/crates/node/src/transports/http1/tests/pool.rs
+++ b/crates/node/src/transports/http1/tests/pool.rs
@@ -52,10 +52,10 @@
         let mut after = accept(&listener).await;
         read_head(&mut after).await;
         write(&mut after, OK_SECOND).await;
-        let (outcome, answer) = seen.answer().await;
+        let (outcome, answer) = seen.next_answer().await;
         assert_eq!(outcome, Outcome::Ok, "{stale:?}");
         assert_eq!(answer.expect("an answer").body, "second", "{stale:?}");
-        assert_eq!(transport.counts().stale, 1, "{stale:?}");
+        assert_eq!(transport.take_counts().stale, 1, "{stale:?}");
         let _ = after.shutdown().await;
     }
 }
@@ -69,7 +69,7 @@
     let mut after = accept(&listener).await;
     assert!(read_head(&mut after).await.starts_with("GET /alive "));
     write(&mut after, OK_SECOND).await;
-    assert_eq!(seen.probed().await.expect("an answer").body, "second");
+    assert_eq!(seen.next_probe_answer().await.expect("an answer").body, "second");
 }
 
 /// An upstream that sends before it is asked is not asked.
@@ -84,7 +84,7 @@
     tokio::task::yield_now().await;
     let (stream, _) = listener.accept().expect("a connection");
     std::io::Write::write_all(&mut &stream, OK_FIRST).expect("written");
-    assert_eq!(seen.answer().await.0, Outcome::Unreachable, "{address}");
+    assert_eq!(seen.next_answer().await.0, Outcome::Unreachable, "{address}");
 }
 
 /// A connection that has just brought an answer is not written to before it has rested, nor is another opened for that.
@@ -95,13 +95,13 @@
     let before_the_answer = Instant::now();
     let mut stream = pooled_connection(&transport, &mut seen, &listener).await;
     let (attempt, _wanted) = attempt();
-    let most = attempt.flight.until - before_the_answer - REST;
+    let most = attempt.info.until - before_the_answer - REST;
     transport.attempt(attempt);
     let head = read_head(&mut stream).await;
     assert!(before_the_answer.elapsed() >= REST);
     assert!(told_time(&head) <= most, "{head}");
     write(&mut stream, OK_SECOND).await;
-    assert_eq!(seen.answer().await.0, Outcome::Ok);
+    assert_eq!(seen.next_answer().await.0, Outcome::Ok);
     assert!(!is_connected_to(listener));
 }
 
@@ -119,7 +119,7 @@
     let (attempt, mut wanted) = attempt();
     transport.attempt(attempt);
     wanted.give_up = None;
-    assert_eq!(seen.answer().await.0, Outcome::NotSent);
+    assert_eq!(seen.next_answer().await.0, Outcome::NotSent);
     until_idle(&transport, 1).await;
     assert!(stream.try_read(&mut [0]).is_err(), "nothing was written");
 }
--- a/crates/node/src/transports/http1/transport.rs
+++ b/crates/node/src/transports/http1/transport.rs
@@ -13,7 +13,7 @@
 use super::connection::Connection;
 use super::pool::Pool;
 use super::settings::Settings;
-use crate::engine::{Attempt, Counts, End, Peer, Reports, Transport};
+use crate::engine::{Attempt, AttemptEnd, ConnectionCounts, Transport, TransportEvents, UpstreamInfo};
 use crate::socket::{ConnectError, SystemCalls};
 
 /// The transport.
@@ -26,19 +26,19 @@
     pub(super) settings: Settings,
     system_calls: Arc<dyn SystemCalls>,
     pub(super) permits: Arc<Semaphore>,
-    pub(super) reports: Reports,
+    pub(super) reports: TransportEvents,
     state: Mutex<State>,
 }
 
 #[derive(Default)]
 pub(super) struct State {
     upstreams: HashMap<UpstreamId, Upstream>,
-    pub(super) counts: Counts,
+    pub(super) counts: ConnectionCounts,
 }
 
 /// An upstream and the idle connections to it.
 struct Upstream {
-    peer: Peer,
+    peer: UpstreamInfo,
     pool: Pool,
 }
 
@@ -82,7 +82,7 @@
 
 impl Http1 {
     /// A transport that knows no upstream yet.
-    pub fn new(settings: Settings, system_calls: Arc<dyn SystemCalls>, reports: Reports) -> Http1 {
+    pub fn new(settings: Settings, system_calls: Arc<dyn SystemCalls>, reports: TransportEvents) -> Http1 {
         let permits = Arc::new(Semaphore::new(settings.connections));
         let state = Mutex::default();
         Http1 { shared: Arc::new(Shared { settings, system_calls, permits, reports, state }) }
@@ -90,14 +90,14 @@
 }
 
 impl Transport for Http1 {
-    fn update_upstream(&self, upstream: UpstreamId, peer: Peer) {
+    fn update_upstream(&self, upstream: UpstreamId, peer: UpstreamInfo) {
         let mut state = self.shared.state();
         let known = state
             .upstreams
             .entry(upstream)
             .or_insert_with(|| Upstream { peer: peer.clone(), pool: Pool::default() });
         // Connections to another address or another life lead nowhere, or to the wrong process.
-        if known.peer.life != peer.life || !peer.serving {
+        if known.peer.incarnation != peer.incarnation || !peer.serving {
             known.pool.clear();
         }
         known.peer = peer;
@@ -108,18 +108,17 @@
     }
 
     fn attempt(&self, mut attempt: Attempt) {
-        let flight = attempt.flight;
-        if let Some(rest) = attempt.rest_limit.known() {
-            self.shared.drop_rested(flight.upstream, rest);
+        let info = attempt.info;
+        if let Some(rest) = attempt.reuse_limit.max_idle_time() {
+            self.shared.drop_rested(info.upstream, rest);
         }
-        let source =
-            if attempt.is_wanted() { self.shared.source(flight.upstream, flight.until) } else { None };
+        let source = if attempt.is_wanted() { self.shared.source(info.upstream, info.until) } else { None };
         // An idle connection is taken now, in the order in which the module has sent.
         match source {
             Some((source, peer)) => {
                 tokio::spawn(self.shared.clone().run_attempt(attempt, source, peer));
             }
-            None => self.shared.reports.ended(flight, End::Outcome(Outcome::NotSent, None)),
+            None => self.shared.reports.attempt_ended(info, AttemptEnd::Outcome(Outcome::NotSent, None)),
         }
     }
 
@@ -132,11 +131,11 @@
         self.shared.state().upstreams.values_mut().for_each(|upstream| upstream.pool.sweep(limit));
     }
 
-    fn counts(&self) -> Counts {
+    fn take_counts(&self) -> ConnectionCounts {
         std::mem::take(&mut self.shared.state().counts)
     }
 
-    fn idle(&self) -> usize {
+    fn idle_connections(&self) -> usize {
         self.shared.state().upstreams.values().map(|upstream| upstream.pool.count()).sum()
     }
 }
@@ -149,7 +148,7 @@
 
     /// An idle connection, or the right to a new one, for what has to end by `until`. `None` for an upstream that is
     /// not known, and out of sockets of our own: neither is a fault of the upstream's.
-    pub(super) fn source(&self, id: UpstreamId, until: Instant) -> Option<(Source, Peer)> {
+    pub(super) fn source(&self, id: UpstreamId, until: Instant) -> Option<(Source, UpstreamInfo)> {
         let mut state = self.state();
         let State { upstreams, counts } = &mut *state;
         let upstream = upstreams.get_mut(&id)?;
@@ -195,7 +194,7 @@
     pub(super) async fn connect(
         &self,
         source: Source,
-        peer: &Peer,
+        peer: &UpstreamInfo,
         until: Instant,
     ) -> Result<Connection, NoConnection> {
         let permit = match source {
@@ -209,17 +208,17 @@
     }
 
     /// What is known of an upstream now.
-    pub(super) fn peer(&self, id: UpstreamId) -> Option<Peer> {
+    pub(super) fn peer(&self, id: UpstreamId) -> Option<UpstreamInfo> {
         self.state().upstreams.get(&id).map(|upstream| upstream.peer.clone())
     }
 
     /// Keeps a connection for the next, once it can take one. Bytes that the upstream sends before that close it;
     /// what it sends later is seen before the next request's first byte.
-    pub(super) async fn keep(&self, id: UpstreamId, life: u64, connection: Connection) {
+    pub(super) async fn keep(&self, id: UpstreamId, incarnation: u64, connection: Connection) {
         let Some(connection) = connection.settle().await else { return };
         let mut state = self.state();
         let Some(upstream) = state.upstreams.get_mut(&id) else { return };
-        if upstream.peer.life == life && upstream.peer.serving && connection.is_usable() {
+        if upstream.peer.incarnation == incarnation && upstream.peer.serving && connection.is_usable() {
             upstream.pool.put(connection);
         }
     }
