--- a/crates/node/src/engine/server_age.rs
+++ b/crates/node/src/engine/server_age.rs
@@ -1,10 +1,13 @@
-//! When servers started, on the module's monotonic clock. Discovery tells a start by its own clock, in Unix time, and
-//! this machine's wall clock may be off by up to [`LONGEST_STEP`]. What that leaves unknown counts as cold.
+//! Determines when servers started, on the balancer's monotonic clock. Discovery reports a start in Unix
+//! time by its own clock, and this machine's wall clock may be off by up to [`MAX_CLOCK_STEP`]. Where the
+//! start time is uncertain, the latest possible time is used, so that the server counts as warming up.
 //!
-//! * A start that is told while discovery is heard happened within [`TOLD_WITHIN`]. Where the wall clock agrees with
-//!   that, it says how old the start is; where it does not, the start counts as now, and the clock is corrected by it.
-//! * A start in a first list may be of any age. Certain is only by how much it is older than the newest start that was
-//!   told, and what the wall clock leaves after its longest step. A `Date` of discovery's settles the rest to a second.
+//! * A start that discovery reports while this process is in contact with it happened within the last
+//!   [`MAX_NOTIFICATION_DELAY`]. If the wall clock agrees, it gives the age of the start. If it does not,
+//!   the start counts as now, and the estimate of discovery's clock is corrected accordingly.
+//! * A start in a first list may be of any age. Only two things are certain: how much older it is than the
+//!   newest start reported so far, and its minimum age by the wall clock after the longest possible clock
+//!   step. A `Date` header from discovery determines the age to within a second.
 //!
 //! The reasons are in `docs/design/clocks.md`.
 
@@ -12,186 +15,206 @@
 
 use super::discovery_source::Entry;
 
-/// A wall clock is stepped by an hour at most; the minute is what clocks differ by without a step.
-const LONGEST_STEP: Millis = 61.0 * 60.0 * 1e3;
+/// The assumed limit of a wall clock's error: a step of at most an hour, plus a minute by which clocks differ
+/// without a step.
+const MAX_CLOCK_STEP: Millis = 61.0 * 60.0 * 1e3;
 
-/// Discovery tells a start at the latest this long after it happened (the protocol's 6 s).
-const TOLD_WITHIN: Millis = 6_000.0;
+/// Discovery reports a start at most this long after it happened. The protocol limits the delay to 6 s.
+const MAX_NOTIFICATION_DELAY: Millis = 6_000.0;
 
-/// What clocks that agree may differ by, and what a message may take on the way.
-const TOLERANCE: Millis = 1_000.0;
+/// Allowance for the difference between clocks that agree and for the time a message is in transit.
+const CLOCK_TOLERANCE: Millis = 1_000.0;
 
-/// Discovery sends something at least every 2 s. After a silence of no more than this nothing was missed.
-const HEARD_WITHOUT_GAP: Millis = 3_000.0;
+/// Discovery sends something at least every 2 s. After a silence no longer than this, nothing was missed.
+const MAX_SILENCE_WITHOUT_GAP: Millis = 3_000.0;
 
 /// The resolution of a `Date` header.
 const DATE_RESOLUTION: Millis = 1_000.0;
 
-/// The share of what serves that may be held to be cold on a mere doubt. Where it were more, requests would be refused
-/// for a clock that is most likely right.
-const MOST_DOUBTED: f64 = 0.5;
+/// The maximum fraction of the serving weight that may count as warming up only because the wall clock is
+/// uncertain. With more, requests would be refused because of a clock that is most likely right.
+const MAX_DOUBTED_FRACTION: f64 = 0.5;
 
-/// What discovery's clock showed, in the module's time.
+/// A reading of discovery's clock. Its bounds are on the balancer's clock.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct DiscoveryClockReading {
-    /// In Unix milliseconds, cut to whole seconds.
+    /// The time that the clock showed, in Unix milliseconds, truncated to whole seconds.
     pub unix_ms: Millis,
-    /// It was not read before this.
+    /// The earliest time at which the clock can have been read.
     pub asked_at: Millis,
-    /// It was not read after this.
+    /// The latest time at which the clock can have been read.
     pub answered_at: Millis,
 }
 
-/// Who has confirmed what discovery's clock shows.
+/// What the estimate of discovery's clock is based on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Evidence {
-    /// The wall clock alone says it.
+    /// Only this machine's wall clock.
     WallClock,
-    /// Discovery has told something that fits no other time.
+    /// Something that discovery reported and that fits no other time.
     Discovery,
 }
 
-/// What is known of a list's starts besides what its entries say.
+/// What is known about the start times in a list beyond its entries.
+///
+/// `epoch_unix_ms` is a lower bound for the time that discovery's clock showed at time 0 of the balancer's
+/// clock. `earliest` is the earliest possible start time, on the balancer's clock.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum StartBasis {
-    /// They may be of any age; discovery's clock showed no less than this at the module's 0.
-    AnyAge { clock: Millis },
-    /// Some were missed in a silence: they happened after `earliest`.
-    AfterGap { clock: Millis, earliest: Millis },
-    /// They were told at once: they happened after `earliest`.
+    /// The starts may be of any age.
+    AnyAge { epoch_unix_ms: Millis },
+    /// Discovery was silent for a while, so that starts may have been missed. They happened after `earliest`.
+    AfterGap { epoch_unix_ms: Millis, earliest: Millis },
+    /// Discovery reported the starts without delay. They happened after `earliest`.
     Live { earliest: Millis },
 }
 
-/// Tells how old servers are.
+/// Determines when servers started from what discovery reports.
 #[derive(Debug)]
 pub(super) struct ServerAges {
-    /// What discovery's clock showed at the module's 0, in Unix milliseconds, as far as is known.
-    clock: Millis,
+    /// The estimated time that discovery's clock showed at time 0 of the balancer's clock, in Unix
+    /// milliseconds.
+    epoch_unix_ms: Millis,
     evidence: Evidence,
-    /// The same by the newest start that was told: discovery's clock showed no less.
-    newest: Millis,
-    /// How long a server stays cold.
+    /// A lower bound for the same time, derived from the newest start reported so far.
+    min_epoch_unix_ms: Millis,
+    /// How long a server warms up after its start.
     warm_up: Millis,
-    /// When discovery's list was heard last.
-    heard_at: Option<Millis>,
+    /// When discovery last sent a list.
+    last_contact: Option<Millis>,
 }
 
 impl ServerAges {
-    /// Before anything was told, with what the wall clock showed at the module's 0.
+    /// Creates the estimate from the time that the wall clock showed at time 0 of the balancer's clock.
     pub(super) fn new(unix_ms: Millis, warm_up: Millis) -> ServerAges {
         ServerAges {
-            clock: unix_ms,
+            epoch_unix_ms: unix_ms,
             evidence: Evidence::WallClock,
-            newest: f64::NEG_INFINITY,
+            min_epoch_unix_ms: f64::NEG_INFINITY,
             warm_up,
-            heard_at: None,
+            last_contact: None,
         }
     }
 
-    /// Takes in what discovery's clock showed.
+    /// Corrects the estimate by a reading of discovery's clock.
     pub(super) fn apply_clock_reading(&mut self, reading: DiscoveryClockReading) {
         let lowest = reading.unix_ms - reading.answered_at;
         let highest = reading.unix_ms + DATE_RESOLUTION - reading.asked_at;
-        // Neither a clock further off than by a step, nor one behind the servers', is the one that starts are told by.
-        let is_another = (lowest - self.clock).abs() > LONGEST_STEP || self.newest > highest + TOLERANCE;
+        // Start times are not reported by this clock if it differs from the estimate by more than a clock
+        // step explains, or if it is behind the clock of a server that has already started.
+        let is_another = (lowest - self.epoch_unix_ms).abs() > MAX_CLOCK_STEP
+            || self.min_epoch_unix_ms > highest + CLOCK_TOLERANCE;
         if self.evidence == Evidence::Discovery || is_another {
             return;
         }
-        if !(lowest..=highest).contains(&self.clock) {
-            self.clock = lowest;
+        if !(lowest..=highest).contains(&self.epoch_unix_ms) {
+            self.epoch_unix_ms = lowest;
         }
         self.evidence = Evidence::Discovery;
     }
 
-    /// Takes in the list that a process holds from before its start.
+    /// Applies a list that was held before the process restarted.
     pub(super) fn apply_restored_list(&mut self, now: Millis, entries: &[Entry]) -> StartBasis {
-        self.see(now, entries);
-        StartBasis::AnyAge { clock: self.certain_clock(now, entries, serving_weight(entries)) }
+        self.observe_starts(now, entries);
+        StartBasis::AnyAge { epoch_unix_ms: self.certain_epoch(now, entries, serving_weight(entries)) }
     }
 
-    /// Takes in a list of discovery's. `heard_before` is when it was heard last before this list, where its source knows,
-    /// and `serving` the weight of all servers that serve.
+    /// Applies a list from discovery. `previous_contact` is when the discovery source last heard from
+    /// discovery before this list, if the source knows it. `serving` is the weight of all serving servers.
     pub(super) fn apply_list(
         &mut self,
         now: Millis,
         entries: &[Entry],
-        heard_before: Option<Millis>,
+        previous_contact: Option<Millis>,
         serving: f64,
     ) -> StartBasis {
-        self.see(now, entries);
-        let heard_before = heard_before.into_iter().chain(self.heard_at.replace(now)).reduce(f64::max);
-        let clock = self.certain_clock(now, entries, serving);
-        let told_since = |at: Millis| at - TOLD_WITHIN - TOLERANCE;
-        match heard_before {
-            None => StartBasis::AnyAge { clock },
-            Some(at) if now - at <= HEARD_WITHOUT_GAP => StartBasis::Live { earliest: told_since(now) },
-            Some(at) => StartBasis::AfterGap { clock, earliest: told_since(at) },
+        self.observe_starts(now, entries);
+        let previous_contact =
+            previous_contact.into_iter().chain(self.last_contact.replace(now)).reduce(f64::max);
+        let epoch_unix_ms = self.certain_epoch(now, entries, serving);
+        let earliest_start = |at: Millis| at - MAX_NOTIFICATION_DELAY - CLOCK_TOLERANCE;
+        match previous_contact {
+            None => StartBasis::AnyAge { epoch_unix_ms },
+            Some(at) if now - at <= MAX_SILENCE_WITHOUT_GAP => {
+                StartBasis::Live { earliest: earliest_start(now) }
+            }
+            Some(at) => StartBasis::AfterGap { epoch_unix_ms, earliest: earliest_start(at) },
         }
     }
 
-    /// Takes in one entry that another member told of.
+    /// Applies an entry that another cluster member reported.
     pub(super) fn apply_peer_entry(&mut self, now: Millis, entry: &Entry, serving: f64) -> StartBasis {
         let entries = std::slice::from_ref(entry);
-        self.see(now, entries);
-        let clock = self.certain_clock(now, entries, serving);
-        match self.heard_at {
-            None => StartBasis::AnyAge { clock },
-            Some(at) => StartBasis::AfterGap { clock, earliest: at - TOLD_WITHIN - TOLERANCE },
+        self.observe_starts(now, entries);
+        let epoch_unix_ms = self.certain_epoch(now, entries, serving);
+        match self.last_contact {
+            None => StartBasis::AnyAge { epoch_unix_ms },
+            Some(at) => StartBasis::AfterGap {
+                epoch_unix_ms,
+                earliest: at - MAX_NOTIFICATION_DELAY - CLOCK_TOLERANCE,
+            },
         }
     }
 
-    /// When a server started, at the latest that is possible; nothing for long ago.
+    /// Returns the latest time at which a server can have started. `None` means long ago.
     pub(super) fn start_time(&mut self, now: Millis, started_ms: f64, basis: StartBasis) -> Option<Millis> {
         if started_ms <= 0.0 {
             return None;
         }
         Some(match basis {
-            StartBasis::AnyAge { clock } => (started_ms - clock).min(now),
-            StartBasis::AfterGap { clock, earliest } => (started_ms - clock).max(earliest).min(now),
-            StartBasis::Live { earliest } => self.told(now, started_ms, earliest),
+            StartBasis::AnyAge { epoch_unix_ms } => (started_ms - epoch_unix_ms).min(now),
+            StartBasis::AfterGap { epoch_unix_ms, earliest } => {
+                (started_ms - epoch_unix_ms).max(earliest).min(now)
+            }
+            StartBasis::Live { earliest } => self.live_start_time(now, started_ms, earliest),
         })
     }
 
-    /// When a server started whose start was told at once. The clock is corrected where it contradicts that.
-    fn told(&mut self, now: Millis, started_ms: f64, earliest: Millis) -> Millis {
-        if !(earliest..=now + TOLERANCE).contains(&(started_ms - self.clock)) {
-            self.clock = started_ms - now;
+    /// Returns when a server started whose start was reported without delay. Corrects the estimate of
+    /// discovery's clock if it contradicts the report.
+    fn live_start_time(&mut self, now: Millis, started_ms: f64, earliest: Millis) -> Millis {
+        if !(earliest..=now + CLOCK_TOLERANCE).contains(&(started_ms - self.epoch_unix_ms)) {
+            self.epoch_unix_ms = started_ms - now;
         }
         self.evidence = Evidence::Discovery;
-        (started_ms - self.clock).min(now)
+        (started_ms - self.epoch_unix_ms).min(now)
     }
 
-    /// No server has started later than now.
-    fn see(&mut self, now: Millis, entries: &[Entry]) {
+    /// Raises the lower bound for discovery's clock: no server can have started later than now.
+    fn observe_starts(&mut self, now: Millis, entries: &[Entry]) {
         let starts = entries.iter().map(|entry| entry.started_ms - now);
-        self.newest = starts.fold(self.newest, f64::max);
+        self.min_epoch_unix_ms = starts.fold(self.min_epoch_unix_ms, f64::max);
     }
 
-    /// What discovery's clock showed at the least at the module's 0.
-    fn certain_clock(&self, now: Millis, entries: &[Entry], serving: f64) -> Millis {
+    /// Returns the time that discovery's clock certainly showed, or had passed, at time 0 of the balancer's
+    /// clock. Returns the estimate itself if the certain time would leave too many servers warming up.
+    fn certain_epoch(&self, now: Millis, entries: &[Entry], serving: f64) -> Millis {
         if self.evidence == Evidence::Discovery {
-            return self.clock;
+            return self.epoch_unix_ms;
         }
-        // A start in the wall clock's future does not make the others older: one server's clock may be off as well.
-        let certain = self.newest.max(self.clock - LONGEST_STEP).min(self.clock);
-        let is_cold = |entry: &Entry, clock: Millis| {
-            entry.started_ms > 0.0 && entry.started_ms - clock + self.warm_up > now
+        // A start in the wall clock's future does not make the other servers older, because the clock of
+        // that one server may be off as well.
+        let certain = self.min_epoch_unix_ms.max(self.epoch_unix_ms - MAX_CLOCK_STEP).min(self.epoch_unix_ms);
+        let is_warming_up = |entry: &Entry, epoch_unix_ms: Millis| {
+            entry.started_ms > 0.0 && entry.started_ms - epoch_unix_ms + self.warm_up > now
         };
-        let is_doubted = |entry: &&Entry| is_cold(entry, certain) && !is_cold(entry, self.clock);
+        let is_doubted =
+            |entry: &&Entry| is_warming_up(entry, certain) && !is_warming_up(entry, self.epoch_unix_ms);
         let doubted = serving_weight(entries.iter().filter(is_doubted));
-        if doubted <= serving * MOST_DOUBTED { certain } else { self.clock }
+        if doubted <= serving * MAX_DOUBTED_FRACTION { certain } else { self.epoch_unix_ms }
     }
 }
 
-/// The weight of those entries that serve.
+/// Returns the total weight of the entries that are serving.
 pub(super) fn serving_weight<'a>(entries: impl IntoIterator<Item = &'a Entry>) -> f64 {
     entries.into_iter().filter(|entry| entry.serving).map(|entry| entry.weight.max(0.0)).sum()
 }
 
-/// Whether a start that was judged before is to be judged anew: not for what clocks differ by anyway.
+/// Returns whether a new estimate of a start time replaces an earlier one. A difference within the
+/// tolerance of clocks that agree does not.
 pub(super) fn differs_significantly(before: Option<Millis>, after: Option<Millis>) -> bool {
     match (before, after) {
-        (Some(before), Some(after)) => (before - after).abs() > TOLERANCE,
+        (Some(before), Some(after)) => (before - after).abs() > CLOCK_TOLERANCE,
         (before, after) => before != after,
     }
 }
--- a/crates/node/src/engine/transport.rs
+++ b/crates/node/src/engine/transport.rs
@@ -1,5 +1,5 @@
-//! The seam towards transports: the engine says which attempt goes to whom, and a transport carries it over
-//! connections of its own and reports exactly one end for it.
+//! The interface between the engine and transports. The engine decides which attempt goes to which
+//! upstream. A transport carries the attempt over its own connections and reports exactly one end for it.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError, Weak};
@@ -13,207 +13,216 @@
 use super::idempotency_window::IdempotencyWindow;
 use super::message::{Answer, AttemptEnd, ForwardedRequest};
 
-/// One attempt on its way.
+/// Identifies an attempt and holds its destination and time limit.
 #[derive(Debug, Clone, Copy)]
 pub struct AttemptInfo {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// Which of its sends.
+    /// The number of the attempt within its request.
     pub attempt: AttemptNo,
-    /// Where to.
+    /// The upstream that the attempt goes to.
     pub upstream: UpstreamId,
-    /// When the attempt is given up.
+    /// When the attempt times out.
     pub until: Instant,
 }
 
-/// Where requests may go, by rules that may change while an attempt is on its way to its connection.
+/// Decides in which zones a request may be written to a server. The rules may change while an attempt waits
+/// for its connection, so a transport checks them again before it writes.
 pub trait ZonePolicy: Send + Sync {
-    /// Whether a request of this class and tenant may be written to a server in this zone, now.
+    /// Returns whether a request of this class and tenant may now be written to a server in this zone.
     fn allows(&self, class: ClassId, tenant: TenantId, zone: &str) -> bool;
 }
 
-/// What a transport asks a [`ZonePolicy`] for one request.
+/// The check against a [`ZonePolicy`] that a transport makes for one request.
 #[derive(Clone)]
 pub struct ZoneCheck {
-    /// Who decides.
+    /// The policy that decides.
     pub policy: Arc<dyn ZonePolicy>,
-    /// The request's class.
+    /// The class of the request.
     pub class: ClassId,
-    /// Its tenant.
+    /// The tenant of the request.
     pub tenant: TenantId,
 }
 
 impl ZoneCheck {
-    /// Whether the request may be written to a server in this zone, which the roster may have moved there meanwhile.
-    pub fn allows(&self, peer: &UpstreamInfo) -> bool {
-        self.policy.allows(self.class, self.tenant, peer.zone.as_deref().unwrap_or_default())
+    /// Returns whether the request may be written to this upstream. The upstream's zone is part of `upstream`
+    /// because a discovery list may have moved the upstream to another zone since it was chosen.
+    pub fn allows(&self, upstream: &UpstreamInfo) -> bool {
+        self.policy.allows(self.class, self.tenant, upstream.zone.as_deref().unwrap_or_default())
     }
 }
 
-/// The client of a request, as its connection shows it at the moment of asking.
+/// The connection of the client that sent a request.
 pub trait ClientConnection: Send + Sync {
-    /// Whether it has closed, whatever lies unread before that. Asks the kernel, whose events may not have been taken in
-    /// yet: the process may have been held up since.
+    /// Returns whether the client has closed the connection, even if unread data precedes the close. Queries
+    /// the kernel, because the process may have been suspended and the runtime may not have processed the
+    /// kernel's events yet.
     fn has_disconnected(&self) -> bool;
 }
 
-/// A client of which nothing more is known than that its task waits.
+/// A client without a connection to query. Its task alone shows that it is waiting.
 impl ClientConnection for () {
     fn has_disconnected(&self) -> bool {
         false
     }
 }
 
-/// Who still waits for what an attempt may bring. It can be asked anywhere and at any time, also while the engine
-/// has not come to hear of it yet.
+/// Shows whether the answer to an attempt is still needed. It can be checked at any time and from any task,
+/// and shows a change even before the engine has handled the event about it.
 #[derive(Clone)]
 pub struct Interest {
     /// Alive until the request has its final answer.
     answer_owed: Weak<()>,
-    /// Alive while the client is there, where its front says so.
+    /// Alive while the client is connected. `None` if the listener does not provide this.
     client: Option<Weak<dyn ClientConnection>>,
 }
 
 impl Interest {
-    /// Interest for as long as this is alive.
+    /// Creates an interest that lasts until `answer_owed` is dropped.
     pub fn until_answered(answer_owed: &Arc<()>) -> Interest {
         Interest { answer_owed: Arc::downgrade(answer_owed), client: None }
     }
 
-    /// The same, and only while the client's own task holds this.
+    /// Also ends the interest when the client's own task drops `client`.
     pub fn while_client_waits(self, client: Weak<dyn ClientConnection>) -> Interest {
         Interest { client: Some(client), ..self }
     }
 
-    /// Whether an answer is owed and the client is there.
+    /// Returns whether the request still needs an answer and the client's task still waits for it.
     pub fn is_wanted(&self) -> bool {
         let client_left = self.client.as_ref().is_some_and(|client| client.strong_count() == 0);
         self.answer_owed.strong_count() > 0 && !client_left
     }
 
-    /// The same, and the client's own connection says so now. For the last moment before a write: it may cost a system
-    /// call.
+    /// Like [`is_wanted`](Interest::is_wanted), but also checks the client's connection. This may cost a
+    /// system call, so it is meant for the last check before a write.
     pub fn is_wanted_now(&self) -> bool {
         let client = self.client.as_ref().and_then(Weak::upgrade);
         self.is_wanted() && !client.is_some_and(|client| client.has_disconnected())
     }
 }
 
-/// A connection that rested for less was not lost by resting, and breaks by something else.
-const LEAST_LONG_REST: Duration = Duration::from_secs(1);
+/// If a connection breaks after a shorter idle time than this, the idle time is not the cause.
+const MIN_LONG_IDLE_TIME: Duration = Duration::from_secs(1);
 
-/// How long a connection may have rested for a request to go over it. Its attempts share this: where one broke on a
-/// connection that had rested for long, as servers or what lies before them may forget it, the next one takes none that
-/// has rested as long. Else all attempts of a request can be used up on connections that were lost in one rest.
+/// Limits how long a connection may have been idle for a request to reuse it. All attempts of a request share
+/// the limit.
+///
+/// A server, or a device in front of it, may silently forget connections that are idle for long. When an
+/// attempt breaks on such a connection, the next attempt uses none that has been idle as long. Without this
+/// limit, a request could spend all its attempts on connections that were lost in the same idle period.
 #[derive(Debug, Clone, Default)]
 pub struct ReuseLimit(Arc<Mutex<Option<Duration>>>);
 
 impl ReuseLimit {
-    /// A connection that had rested for so long broke under the request.
-    pub fn record_break(&self, rest: Duration) {
-        if rest >= LEAST_LONG_REST {
+    /// Records that a connection broke under the request after it had been idle for this long.
+    pub fn record_break(&self, idle_time: Duration) {
+        if idle_time >= MIN_LONG_IDLE_TIME {
             let mut limit = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-            *limit = Some(limit.map_or(rest, |known| known.min(rest)));
+            *limit = Some(limit.map_or(idle_time, |known| known.min(idle_time)));
         }
     }
 
-    /// The rest from which on a connection is not to be used, if there is one.
+    /// Returns the idle time from which on a connection must not be reused. `None` means no limit.
     pub fn max_idle_time(&self) -> Option<Duration> {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// An attempt for a transport to carry.
+/// An attempt, as the engine hands it to a transport.
 pub struct Attempt {
-    /// Which it is.
+    /// Identifies the attempt, its upstream and its time limit.
     pub info: AttemptInfo,
-    /// What goes to the upstream.
+    /// The request to send to the upstream.
     pub forward: Arc<ForwardedRequest>,
-    /// Dropped or used when the engine gives the attempt up.
+    /// Resolves when the engine cancels the attempt, either by a message or by dropping the sender.
     pub cancelled: oneshot::Receiver<()>,
-    /// Who waits for its answer: what is not written once nobody does must not be.
+    /// Shows whether the answer is still needed. Once it is not, the transport must not write what it has not
+    /// written yet.
     pub interest: Interest,
-    /// By when it has to be written, for a class whose repeats upstreams discard by key.
+    /// The time window in which the attempt must be written, for a class whose repeats upstreams discard by
+    /// idempotency key.
     pub idempotency_window: Option<Arc<IdempotencyWindow>>,
-    /// Where it may go; absent: anywhere.
+    /// Restricts the zones that the request may be sent to. `None` means no restriction.
     pub zone_check: Option<ZoneCheck>,
-    /// Over which connections it may go, by what became of earlier attempts.
+    /// Restricts which idle connections the attempt may reuse, depending on how earlier attempts ended.
     pub reuse_limit: ReuseLimit,
 }
 
 impl Attempt {
-    /// Whether the engine gave it up.
+    /// Returns whether the engine has cancelled the attempt.
     pub fn is_cancelled(&mut self) -> bool {
         !matches!(self.cancelled.try_recv(), Err(oneshot::error::TryRecvError::Empty))
     }
 
-    /// Whether somebody still waits for its answer and it was not given up.
+    /// Returns whether the answer is still needed and the attempt is not cancelled.
     pub fn is_wanted(&mut self) -> bool {
         !self.is_cancelled() && self.interest.is_wanted()
     }
 }
 
-/// What a transport must know of an upstream.
+/// What a transport needs to know about an upstream.
 #[derive(Debug, Clone)]
 pub struct UpstreamInfo {
-    /// Its name, for the log.
+    /// The host name, for the log.
     pub host: Arc<str>,
-    /// Where it listens.
+    /// The address to connect to.
     pub dial: SocketAddr,
-    /// Which of its lives: connections do not outlast one.
+    /// The incarnation of the server. Connections are not reused across incarnations.
     pub incarnation: u64,
-    /// The name of its zone, where rules ask for it.
+    /// The name of the upstream's zone. Present only if a policy needs it.
     pub zone: Option<Arc<str>>,
-    /// Whether it takes new work. To one that does not, nothing is written that is not yet on its way.
+    /// Whether the upstream accepts new requests. If it does not, the transport begins to write no further
+    /// request to it.
     pub serving: bool,
 }
 
-/// What a transport has done since it was last asked.
+/// Counts of what a transport did with connections since the previous call of [`Transport::take_counts`].
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 pub struct ConnectionCounts {
-    /// Connections opened, for attempts and probes.
+    /// Connections opened for attempts and load polls.
     pub opened: u32,
-    /// Attempts and probes over an idle connection.
+    /// Attempts and load polls that reused an idle connection.
     pub reused: u32,
-    /// Idle connections that turned out to be closed when used.
+    /// Idle connections that turned out to be closed when they were reused.
     pub stale: u32,
-    /// Attempts and probes that found no descriptor left.
+    /// Attempts and load polls that failed because no file descriptor was available.
     pub no_descriptor: u32,
 }
 
-/// Carries attempts and probes to upstreams by one protocol.
+/// Carries attempts and load polls (probes) to upstreams by one protocol.
 ///
-/// Nothing here waits: what takes time goes on in tasks of the transport's own, which tell the engine by the
-/// [`TransportEvents`] that the transport was made with. Each attempt gets exactly one end, also one for an upstream that
-/// the transport was never told of.
+/// No method blocks. Work that takes time runs in the transport's own tasks, which report to the engine
+/// through the [`TransportEvents`] that the transport was created with. Each attempt gets exactly one end,
+/// even if the transport does not know its upstream.
 pub trait Transport: Send {
-    /// What is known of an upstream is new or has changed.
-    fn update_upstream(&self, upstream: UpstreamId, peer: UpstreamInfo);
-    /// An upstream is forgotten.
+    /// Adds an upstream or updates what is known about it.
+    fn update_upstream(&self, upstream: UpstreamId, info: UpstreamInfo);
+    /// Forgets an upstream.
     fn remove_upstream(&self, upstream: UpstreamId);
-    /// Carries an attempt.
+    /// Starts an attempt.
     fn attempt(&self, attempt: Attempt);
-    /// Asks an upstream for its load until then.
+    /// Polls an upstream for its load, with `until` as the time limit.
     fn probe(&self, upstream: UpstreamId, until: Instant);
-    /// Closes what has been idle for too long.
+    /// Closes connections that have been idle for too long.
     fn sweep(&self);
-    /// What was done since this was last asked.
+    /// Returns the counts since the previous call and resets them.
     fn take_counts(&self) -> ConnectionCounts;
-    /// Connections that carry nothing now.
+    /// Returns the number of idle connections.
     fn idle_connections(&self) -> usize;
 }
 
-/// Where a transport tells what became of attempts and probes.
+/// Reports the results of attempts and load polls from a transport to the engine.
 #[derive(Clone)]
 pub struct TransportEvents(pub(super) mpsc::UnboundedSender<EngineEvent>);
 
 impl TransportEvents {
-    /// An attempt has ended.
+    /// Reports the end of an attempt.
     pub fn attempt_ended(&self, info: AttemptInfo, end: AttemptEnd) {
         let _ = self.0.send(EngineEvent::AttemptEnded { info, end });
     }
 
-    /// A probe has ended, with what came back.
+    /// Reports the end of a load poll. `answer` is `None` if the server did not answer.
     pub fn probe_ended(&self, upstream: UpstreamId, answer: Option<Answer>) {
         let _ = self.0.send(EngineEvent::ProbeEnded { upstream, answer });
     }
