--- a/crates/node/src/engine/channels.rs
+++ b/crates/node/src/engine/channels.rs
@@ -1,4 +1,4 @@
-//! The ways to an engine: what its surroundings are given to tell it things by.
+//! The channels that connect an engine to the rest of the process.
 
 use std::sync::Arc;
 
@@ -14,22 +14,22 @@
 #[cfg(test)]
 use super::{datagrams::Datagram, message::AttemptEnd};
 
-/// The way to an engine, for whoever wires it to its surroundings.
+/// The channels of one engine. The caller hands each of them to the component that uses it.
 pub struct EngineChannels {
-    /// For fronts.
+    /// Accepts requests from listeners.
     pub intake: Arc<Intake>,
-    /// For transports.
+    /// Accepts reports from a transport.
     pub transport_events: TransportEvents,
-    /// For rosters.
+    /// Accepts reports from a discovery source.
     pub discovery_events: DiscoveryEvents,
-    /// For the operators.
+    /// Changes the engine's configuration while it runs.
     pub control: EngineControl,
-    /// For the engine itself.
+    /// The receiving end of all the channels, for the engine itself.
     pub inbox: Inbox,
 }
 
 impl EngineChannels {
-    /// The ways to one engine.
+    /// Creates the channels of one engine.
     pub fn new(names: RequestNames) -> EngineChannels {
         let (events, inbox) = mpsc::unbounded_channel();
         EngineChannels {
@@ -42,24 +42,24 @@
     }
 }
 
-/// What an engine hears from.
+/// The receiving end of the channels, from which an engine takes its events.
 pub struct Inbox(pub(super) mpsc::UnboundedReceiver<EngineEvent>);
 
 #[cfg(test)]
 impl Inbox {
-    /// What a transport under test tells.
+    /// Returns the events for a test that takes the place of the engine.
     pub(crate) fn into_test_events(self) -> TestEvents {
         TestEvents(self.0)
     }
 }
 
-/// The ends that a transport under test has told.
+/// The events that a component under test has sent to the engine.
 #[cfg(test)]
 pub(crate) struct TestEvents(mpsc::UnboundedReceiver<EngineEvent>);
 
 #[cfg(test)]
 impl TestEvents {
-    /// The next end, with the answer if one came.
+    /// Waits for the end of an attempt. Returns its outcome and the answer, if there is one.
     pub(crate) async fn next_answer(&mut self) -> (sagemast::api::Outcome, Option<super::message::Answer>) {
         match self.0.recv().await {
             Some(EngineEvent::AttemptEnded { end: AttemptEnd::Outcome(outcome, answer), .. }) => {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The next probe's answer.
+    /// Waits for the end of a load poll. Returns the answer, if there is one.
     pub(crate) async fn next_probe_answer(&mut self) -> Option<super::message::Answer> {
         match self.0.recv().await {
             Some(EngineEvent::ProbeEnded { answer, .. }) => answer,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The next end.
+    /// Waits for the end of an attempt. Returns its request and its outcome.
     pub(crate) async fn next_end(&mut self) -> (sagemast::api::RequestId, sagemast::api::Outcome) {
         match self.0.recv().await {
             Some(EngineEvent::AttemptEnded {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// What members have sent, once there is some.
+    /// Waits until datagrams from other members have arrived, and returns them.
     pub(crate) async fn next_datagrams(&mut self, mailbox: &Mailbox) -> Vec<Datagram> {
         match self.0.recv().await {
             Some(EngineEvent::DatagramsReceived) => mailbox.take().into(),
@@ -97,33 +97,36 @@
         }
     }
 
-    /// Whether nothing more can come.
+    /// Waits for the next event or for the end of all senders. Returns whether all senders are dropped, so
+    /// that no more events can arrive.
     pub(crate) async fn is_closed(&mut self) -> bool {
         self.0.recv().await.is_none()
     }
 }
 
-/// What the operators may ask of a running engine.
+/// Changes the configuration of a running engine.
 #[derive(Clone)]
 pub struct EngineControl(mpsc::UnboundedSender<EngineEvent>);
 
 impl EngineControl {
-    /// Follows another roster from now on.
-    pub fn replace_discovery_source(&self, roster: Box<dyn DiscoverySource>) {
-        let _ = self.0.send(EngineEvent::DiscoverySourceReplaced(roster));
+    /// Replaces the discovery source.
+    pub fn replace_discovery_source(&self, source: Box<dyn DiscoverySource>) {
+        let _ = self.0.send(EngineEvent::DiscoverySourceReplaced(source));
     }
 
-    /// Lets other routes be in force for the requests to come; those under way end by the ones they began with.
+    /// Replaces the route table for requests that arrive from now on. Open requests keep the routes that they
+    /// started with.
     pub fn replace_routes(&self, table: Table) {
         let _ = self.0.send(EngineEvent::RoutesChanged(table));
     }
 
-    /// Lets other rules of residency be in force.
+    /// Replaces the residency rules. `None` removes them, except that a cluster member keeps the rules that
+    /// the cluster holds.
     pub fn replace_residency_rules(&self, rules: Option<Rules>) {
         let _ = self.0.send(EngineEvent::RulesChanged(rules));
     }
 
-    /// Where datagrams of other members wait for the engine, where there are any.
+    /// Creates a mailbox in which datagrams from other cluster members wait for the engine.
     pub fn mailbox(&self) -> Mailbox {
         Mailbox::new(self.0.clone())
     }
--- a/crates/node/src/engine/discovery_source.rs
+++ b/crates/node/src/engine/discovery_source.rs
@@ -1,4 +1,5 @@
-//! The seam towards rosters: where the list of upstreams comes from, in terms that no source has to itself.
+//! The interface between the engine and discovery sources, which supply the list of upstreams. Its types do
+//! not depend on the protocol of any one source.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,85 +13,88 @@
 
 use super::EngineEvent;
 
-/// A list of upstreams, or what changed in it.
+/// A list of upstreams, or the changes to a list.
 #[derive(Debug, Clone, Default)]
 pub struct List {
-    /// Its version.
+    /// The version of the list.
     pub version: u64,
-    /// Where a source that is followed anew goes on from: its version, or 0 if the whole list is wanted, since some of
-    /// this one could not be read or nothing is held.
+    /// The version from which a new subscription resumes. 0 requests a complete list: either no list is
+    /// held, or some entries of this one could not be parsed.
     pub resume_from: u64,
-    /// Whether who is missing is gone.
+    /// Whether the list is complete, so that upstreams missing from it are gone.
     pub complete: bool,
-    /// Its entries.
+    /// The entries.
     pub entries: Vec<Entry>,
-    /// Names of upstreams whose entries could not be read: what was known of them stands.
+    /// Host names of upstreams whose entries could not be parsed. Their last known state still applies.
     pub unparsed: Vec<String>,
-    /// Names of upstreams of which no more could be read than that they want nothing new.
+    /// Host names of upstreams whose entries could not be parsed except that they accept no new requests.
     pub draining: Vec<String>,
-    /// When the source was heard last before this list came; nothing where this is the first that it told.
+    /// When the source last heard from discovery before this list. `None` if this is its first list.
     pub previous_contact: Option<Instant>,
-    /// What the source's clock showed, where it said so with this list.
+    /// The reading of discovery's clock that came with this list, if any.
     pub source_clock: Option<ClockReading>,
 }
 
-/// What a source's clock showed at an instant between two of ours. It is cut to whole seconds.
+/// A reading of discovery's clock, truncated to whole seconds. The clock was read at some moment between two
+/// instants of the local clock.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ClockReading {
-    /// In Unix milliseconds.
+    /// The time that the clock showed, in Unix milliseconds.
     pub unix_ms: f64,
-    /// When the source was asked: it was not read before.
+    /// When the request was sent. The clock was not read before this.
     pub asked_at: Instant,
-    /// When the answer had come: it was not read after.
+    /// When the answer arrived. The clock was not read after this.
     pub answered_at: Instant,
 }
 
-/// An upstream as a roster tells it. Its figures are finite.
+/// An upstream as a discovery source lists it. All numbers are finite.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Entry {
-    /// Its name, the same at every sidecar.
+    /// The host name, which is the same at every sidecar.
     pub host: String,
-    /// Where it listens.
+    /// The address to connect to.
     pub dial: SocketAddr,
-    /// The name of its zone.
+    /// The name of the zone.
     pub zone: String,
-    /// The name of its kind of machine.
+    /// The name of the kind of machine.
     pub kind: String,
-    /// Its cell.
+    /// The number of the cell.
     pub cell: u64,
-    /// Whether it takes new work.
+    /// Whether the upstream accepts new requests.
     pub serving: bool,
-    /// Its size compared with others.
+    /// The capacity relative to other upstreams.
     pub weight: f64,
-    /// When it last started, in Unix milliseconds; 0 for long ago.
+    /// When the server last started, in Unix milliseconds. 0 means long ago.
     pub started_ms: f64,
 }
 
-/// How a source begins to be followed.
+/// The situation in which a subscription starts.
 pub enum SubscriptionStart {
-    /// By a new process that has no list.
+    /// The process is new and has no list.
     NoList,
-    /// By a new process that has one, maybe an old one.
+    /// The process is new and has a list, which may be old.
     HasList,
-    /// In place of another, which may be heard until this one tells its first list but calls no more.
+    /// The subscription replaces another one. The other one opens no new connections, but what it still
+    /// receives counts until the new one has received its first list.
     Replaces(Option<Subscription>),
 }
 
-/// A source of lists.
+/// Supplies lists of upstreams.
 pub trait DiscoverySource: Send {
-    /// Follows the source from a version on until the result is dropped. It sees to its own returns.
+    /// Subscribes to the lists after version `from`. The subscription reconnects by itself and ends when it
+    /// is dropped.
     fn subscribe(&self, from: u64, start: SubscriptionStart) -> Subscription;
 }
 
-/// A source that is followed: it ends with its owner.
+/// A subscription to a discovery source. Dropping it ends it.
 pub struct Subscription {
     task: JoinHandle<()>,
     retired: Arc<AtomicBool>,
 }
 
 impl Subscription {
-    /// Lets a task follow. It is given what tells that it is retired: it may hear out what is open, and must begin
-    /// nothing new.
+    /// Spawns the task of a subscription. The task is given a flag that is set when the subscription is
+    /// retired. From then on it may finish what is open but must not start anything new.
     pub fn spawn<F: Future<Output = ()> + Send + 'static>(
         task: impl FnOnce(Arc<AtomicBool>) -> F,
     ) -> Subscription {
@@ -98,7 +102,7 @@
         Subscription { task: tokio::spawn(task(retired.clone())), retired }
     }
 
-    /// Lets it begin nothing new.
+    /// Tells the task to start nothing new.
     pub fn retire(&self) {
         self.retired.store(true, Ordering::Relaxed);
     }
@@ -110,36 +114,38 @@
     }
 }
 
-/// Where a roster tells its news.
+/// Reports lists and reachability from a discovery source to the engine.
 #[derive(Clone)]
 pub struct DiscoveryEvents {
     pub(super) events: mpsc::UnboundedSender<EngineEvent>,
-    /// How eagerly the source is asked, where a fleet decides on it.
+    /// How often the source polls discovery. `None` if no cluster decides this.
     pub(super) pace: Option<watch::Receiver<Pace>>,
 }
 
 impl DiscoveryEvents {
-    /// Whether nobody hears it any more.
+    /// Returns whether the engine has stopped.
     pub fn is_closed(&self) -> bool {
         self.events.is_closed()
     }
 
-    /// A list, or what changed. Whether anybody still hears it.
+    /// Reports a list or a change to it. Returns whether the engine is still running.
     pub fn list_received(&self, list: List) -> bool {
         self.events.send(EngineEvent::ListReceived(list)).is_ok()
     }
 
-    /// These news for rosters whose source is asked as a fleet decides, and which tell how it answers.
+    /// Returns a copy for a source whose polling rate a cluster decides. Only such a source reports whether
+    /// discovery is reachable.
     pub fn with_pace(&self, pace: watch::Receiver<Pace>) -> DiscoveryEvents {
         DiscoveryEvents { pace: Some(pace), ..self.clone() }
     }
 
-    /// How eagerly the source is asked, as it changes; nothing where no fleet decides on it.
+    /// Returns a receiver for how often to poll discovery. `None` if no cluster decides this.
     pub fn pace(&self) -> Option<watch::Receiver<Pace>> {
         self.pace.clone()
     }
 
-    /// The source is in reach, or out of it. Heard only where a fleet wants to know.
+    /// Reports that discovery became reachable or unreachable. Does nothing if no cluster decides the polling
+    /// rate, because nothing else needs the information.
     pub fn reachability_changed(&self, reach: Reach) {
         if self.pace.is_some() {
             let _ = self.events.send(EngineEvent::DiscoveryReachability(reach));
