--- a/crates/node/src/engine/datagrams.rs
+++ b/crates/node/src/engine/datagrams.rs
@@ -1,5 +1,7 @@
-//! The seam towards the other members of a fleet: datagrams out and in. Both ways are queues of bounded length that
-//! lose their oldest, since what peers say is said again, and nothing about a request may wait for it.
+//! The interface between the engine and the other members of a cluster: it sends and receives datagrams. In
+//! both directions the datagrams wait in queues of bounded length, and a full queue drops its oldest
+//! datagram. Loss is acceptable because members repeat what they send, and no request may wait for
+//! datagrams.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -9,34 +11,35 @@
 
 use super::EngineEvent;
 
-/// Datagrams that wait for the engine at most: a second of what a member hears in the largest fleets.
+/// The maximum number of datagrams that wait for the engine. This is what a member of the largest clusters
+/// receives in one second.
 const MAILBOX_CAPACITY: usize = 512;
 
-/// Whom it is from or to, and what it holds.
+/// The sender's or receiver's address and the content of a datagram.
 pub type Datagram = (SocketAddr, Vec<u8>);
 
-/// What became of datagrams since the start.
+/// Counts of lost datagrams since the process started.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 pub struct DatagramLosses {
-    /// Of those that came: passed over since the engine was slower than they came.
+    /// Received datagrams that were dropped because they arrived faster than the engine handled them.
     pub unheard: u64,
-    /// Came from an address that no member has.
+    /// Datagrams from an address that belongs to no member.
     pub strangers: u64,
-    /// Of those to be sent: dropped since the socket was slower than they came.
+    /// Datagrams that were not sent because the engine produced them faster than the socket accepted them.
     pub unsent: u64,
-    /// The system would not send them.
+    /// Datagrams that the operating system failed to send.
     pub failed: u64,
 }
 
-/// Carries datagrams to the other members. Nothing here waits.
+/// Sends datagrams to the other cluster members. No method blocks.
 pub trait DatagramSender: Send {
-    /// Sends a datagram, soon or never.
+    /// Queues a datagram for sending. It may be lost.
     fn send(&self, to: SocketAddr, bytes: Vec<u8>);
-    /// What became of datagrams since the start.
+    /// Returns the counts of lost datagrams since the process started.
     fn losses(&self) -> DatagramLosses;
 }
 
-/// Where datagrams wait for the engine.
+/// A queue in which received datagrams wait for the engine.
 #[derive(Clone)]
 pub struct Mailbox {
     waiting: Arc<Mutex<VecDeque<Datagram>>>,
@@ -48,14 +51,15 @@
         Mailbox { waiting: Arc::default(), events }
     }
 
-    /// A datagram came. Whether all that waited before it still does: the oldest makes room.
+    /// Adds a datagram. A full mailbox drops its oldest datagram to make room. Returns whether there was room
+    /// without a drop.
     pub fn deliver(&self, from: SocketAddr, bytes: Vec<u8>) -> bool {
         let mut waiting = self.waiting();
         let has_room = waiting.len() < MAILBOX_CAPACITY;
         if !has_room {
             waiting.pop_front();
         }
-        // The engine takes all that waits at once: it is told of the first only.
+        // The engine takes all waiting datagrams at once, so it is notified of the first one only.
         if waiting.is_empty() {
             let _ = self.events.send(EngineEvent::DatagramsReceived);
         }
@@ -63,12 +67,12 @@
         has_room
     }
 
-    /// All that waits.
+    /// Removes and returns all waiting datagrams.
     pub(super) fn take(&self) -> VecDeque<Datagram> {
         std::mem::take(&mut *self.waiting())
     }
 
-    /// Held for moments only, never over a wait.
+    /// Locks the queue. The lock is held only briefly and never across an `await`.
     fn waiting(&self) -> MutexGuard<'_, VecDeque<Datagram>> {
         self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/node/src/engine/idempotency_window.rs
+++ b/crates/node/src/engine/idempotency_window.rs
@@ -1,8 +1,9 @@
-//! The window within which upstreams discard repeats of a request by its key.
+//! The time window within which upstreams discard repeats of a request by its idempotency key.
 //!
-//! It counts from the first byte of the earliest attempt that may have run or is still under way. Attempts of one
-//! request share it, and a transport asks it at each write: what was allowed when the module chose a server need
-//! not be allowed any more once the connection is up.
+//! The window starts with the first byte of the earliest attempt that may have been executed or is still in
+//! flight. All attempts of a request share the window. A transport checks it before each write, because the
+//! window may have closed between the balancer's choice of a server and the moment the connection is
+//! established.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -10,10 +11,10 @@
 use sagemast::api::AttemptNo;
 use tokio::time::Instant;
 
-/// Nothing is written in the last moments of a window: what is written takes time to arrive.
-const MARGIN: Duration = Duration::from_millis(8);
+/// Nothing is written in this last part of a window, because written bytes take time to arrive.
+const TRANSIT_MARGIN: Duration = Duration::from_millis(8);
 
-/// The window is over.
+/// The error of a write that is not allowed because the window has closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WindowClosed;
 
@@ -21,56 +22,69 @@
 #[derive(Debug)]
 pub struct IdempotencyWindow {
     length: Duration,
-    /// The attempts of which a byte may have been written and that may have run, with when that began.
-    begun: Mutex<Vec<(AttemptNo, Instant)>>,
+    /// The attempts that may have been executed because a byte of them may have been written, each with the
+    /// time of its first write.
+    started: Mutex<Vec<(AttemptNo, Instant)>>,
 }
 
 impl IdempotencyWindow {
-    /// A window of this length, for a request of which nothing was written yet.
+    /// Creates a window of this length for a request of which nothing has been written yet.
     pub fn new(length: Duration) -> IdempotencyWindow {
-        IdempotencyWindow { length, begun: Mutex::default() }
+        IdempotencyWindow { length, started: Mutex::default() }
     }
 
-    /// Notes that the first byte of an attempt is about to be written, if it may be.
+    /// Records that the first byte of an attempt is about to be written.
+    ///
+    /// # Errors
+    ///
+    /// The window has closed. The attempt must not be written.
     pub fn begin_write(&self, attempt: AttemptNo, now: Instant) -> Result<(), WindowClosed> {
-        let mut begun = self.begun();
-        check(closes(&begun, self.length, attempt), now)?;
-        if begun.iter().all(|(other, _)| *other != attempt) {
-            begun.push((attempt, now));
+        let mut started = self.started();
+        check(closing_time(&started, self.length, attempt), now)?;
+        if started.iter().all(|(other, _)| *other != attempt) {
+            started.push((attempt, now));
         }
         Ok(())
     }
 
-    /// Whether a further byte of an attempt may be written.
+    /// Checks that a further byte of an attempt may be written.
+    ///
+    /// # Errors
+    ///
+    /// The window has closed. The byte must not be written.
     pub fn allows_write(&self, attempt: AttemptNo, now: Instant) -> Result<(), WindowClosed> {
         check(self.closes_at(attempt), now)
     }
 
-    /// When an attempt has to be written whole. `None` while no other attempt binds it.
+    /// Returns the time by which an attempt must be written completely. `None` if there is no limit because
+    /// no other attempt has started.
     pub fn closes_at(&self, attempt: AttemptNo) -> Option<Instant> {
-        closes(&self.begun(), self.length, attempt)
+        closing_time(&self.started(), self.length, attempt)
     }
 
-    /// An attempt has ended and did not run: the window does not count from it.
+    /// Records that an attempt has ended and was not executed. The window no longer starts with it.
     pub fn mark_not_executed(&self, attempt: AttemptNo) {
-        self.begun().retain(|(other, _)| *other != attempt);
+        self.started().retain(|(other, _)| *other != attempt);
     }
 
-    fn begun(&self) -> MutexGuard<'_, Vec<(AttemptNo, Instant)>> {
-        self.begun.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Locks the list of started attempts. The lock is held only briefly and never across an `await`.
+    fn started(&self) -> MutexGuard<'_, Vec<(AttemptNo, Instant)>> {
+        self.started.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// When the window closes for an attempt, by the others that have begun.
-fn closes(begun: &[(AttemptNo, Instant)], length: Duration, attempt: AttemptNo) -> Option<Instant> {
-    let others = begun.iter().filter(|(other, _)| *other != attempt);
+/// Returns when the window closes for an attempt, given the attempts that have started. Only the other
+/// attempts count.
+fn closing_time(started: &[(AttemptNo, Instant)], length: Duration, attempt: AttemptNo) -> Option<Instant> {
+    let others = started.iter().filter(|(other, _)| *other != attempt);
     let earliest = others.map(|(_, at)| *at).min()?;
-    earliest.checked_add(length.saturating_sub(MARGIN))
+    earliest.checked_add(length.saturating_sub(TRANSIT_MARGIN))
 }
 
-fn check(closes: Option<Instant>, now: Instant) -> Result<(), WindowClosed> {
-    match closes {
-        Some(closes) if now >= closes => Err(WindowClosed),
+/// Checks that the closing time, if there is one, has not been reached.
+fn check(closing_time: Option<Instant>, now: Instant) -> Result<(), WindowClosed> {
+    match closing_time {
+        Some(closing_time) if now >= closing_time => Err(WindowClosed),
         _ => Ok(()),
     }
 }
--- a/crates/node/src/engine/idempotency_window_tests.rs
+++ b/crates/node/src/engine/idempotency_window_tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn the_first_attempt_is_not_bound() {
+fn the_first_attempt_has_no_time_limit() {
     let window = IdempotencyWindow::new(WINDOW);
     let start = Instant::now();
     assert_eq!(window.begin_write(AttemptNo(0), start), Ok(()));
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_further_attempt_is_written_within_the_window() {
+fn a_further_attempt_must_be_written_within_the_window() {
     let window = IdempotencyWindow::new(WINDOW);
     let start = Instant::now();
     assert_eq!(window.begin_write(AttemptNo(0), start), Ok(()));
@@ -24,18 +24,20 @@
     assert_eq!(window.begin_write(AttemptNo(2), after(start, 92)), Err(WindowClosed));
 }
 
-/// The first attempt connects late, and the second was written before it: then the second opened the window.
+/// Guards against counting from the attempt with the lowest number. If the first attempt connects late and
+/// the second is written before it, the window starts with the second.
 #[test]
-fn the_window_counts_from_what_was_written_first() {
+fn the_window_starts_with_the_attempt_that_was_written_first() {
     let window = IdempotencyWindow::new(WINDOW);
     let start = Instant::now();
     assert_eq!(window.begin_write(AttemptNo(1), start), Ok(()));
     assert_eq!(window.begin_write(AttemptNo(0), after(start, 92)), Err(WindowClosed));
 }
 
-/// A first attempt that is still being written when the second one was must end within the window of the second.
+/// Guards against a slow first attempt that is still being written after the second was. It must end within
+/// the window that starts with the second.
 #[test]
-fn a_slow_first_attempt_is_bound_by_the_second() {
+fn a_slow_first_attempt_must_be_written_within_the_window_of_the_second() {
     let window = IdempotencyWindow::new(WINDOW);
     let start = Instant::now();
     assert_eq!(window.begin_write(AttemptNo(0), start), Ok(()));
@@ -45,7 +47,7 @@
 }
 
 #[test]
-fn what_never_ran_opens_no_window() {
+fn an_attempt_that_was_not_executed_starts_no_window() {
     let window = IdempotencyWindow::new(WINDOW);
     let start = Instant::now();
     assert_eq!(window.begin_write(AttemptNo(0), start), Ok(()));
--- a/crates/node/src/engine/message.rs
+++ b/crates/node/src/engine/message.rs
@@ -1,76 +1,77 @@
-//! What passes between fronts, engine and transports: requests and answers in the terms of HTTP, whatever the
-//! protocol that carries them.
+//! The requests and answers that listeners, the engine and transports exchange. They use HTTP terms, whatever
+//! protocol carries them.
 
 use bytes::Bytes;
 use hyper::header::{self, HeaderMap, HeaderName};
 use hyper::{Method, StatusCode, Uri};
 use sagemast::api::{Millis, Outcome, Reason};
 
-/// Bodies hold at most this much, both ways.
+/// The maximum length of a body, for requests and answers.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
 
-/// A request as it goes on to upstreams.
+/// A request as it is forwarded to upstreams.
 pub struct ForwardedRequest {
-    /// Method.
+    /// The method.
     pub method: Method,
-    /// Path and query, unchanged.
+    /// The path and query, unchanged.
     pub target: Uri,
-    /// End-to-end headers.
+    /// The end-to-end headers.
     pub headers: HeaderMap,
     /// The body, unchanged.
     pub body: Bytes,
 }
 
 impl ForwardedRequest {
-    /// The client's id of the request.
+    /// Returns the id that the client gave the request, or `?` if there is none.
     pub fn id(&self) -> &str {
         self.headers.get("x-request-id").and_then(|id| id.to_str().ok()).unwrap_or("?")
     }
 
-    /// Whether its client says that it tries again.
+    /// Returns whether the client marked the request as a retry.
     pub fn is_client_retry(&self) -> bool {
-        self.headers.get("x-retried").is_some_and(|mark| mark.as_bytes().trim_ascii() == b"1")
+        self.headers.get("x-retried").is_some_and(|value| value.as_bytes().trim_ascii() == b"1")
     }
 
-    /// How long its client said that it waits.
+    /// Returns how long the client waits, as stated in the request.
     pub fn timeout_ms(&self) -> Option<u64> {
         self.headers.get("x-timeout-ms")?.to_str().ok()?.trim().parse().ok()
     }
 }
 
-/// An upstream's answer, read whole.
+/// A completely read answer of an upstream.
 #[derive(Debug)]
 pub struct Answer {
-    /// Its status.
+    /// The status.
     pub status: StatusCode,
-    /// Its headers.
+    /// The headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
 }
 
-/// What an attempt came to.
+/// How an attempt ended.
 pub enum AttemptEnd {
-    /// It ended so, with the answer if one came.
+    /// The attempt ended with this outcome. The answer is present if one arrived.
     Outcome(Outcome, Option<Answer>),
-    /// It broke so, for this reason.
+    /// The attempt failed with this outcome. The text gives the reason for the log.
     Failed(Outcome, String),
 }
 
-/// A final answer.
+/// The final answer to a client.
 #[derive(Debug)]
 pub enum FinalAnswer {
-    /// An upstream's answer.
+    /// The answer of an upstream.
     Served(HeaderMap, Bytes),
-    /// Trying again is harmless, best after this long; and why.
+    /// The request was refused and a retry is safe. Holds the recommended delay before the retry and the reason
+    /// for the refusal.
     Refused(Millis, Reason),
-    /// No promise.
+    /// The request failed. It is not known whether a retry is safe.
     Failed,
 }
 
-/// The headers that are not about one connection or its framing.
+/// Returns the headers that concern neither a single connection nor its framing.
 pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
-    const OF_CONNECTION: [HeaderName; 9] = [
+    const HOP_BY_HOP: [HeaderName; 9] = [
         header::CONNECTION,
         header::TE,
         header::TRAILER,
@@ -81,20 +82,20 @@
         header::PROXY_AUTHENTICATE,
         header::PROXY_AUTHORIZATION,
     ];
-    let named: Vec<String> = headers
+    let listed_in_connection: Vec<String> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(',').map(|name| name.trim().to_ascii_lowercase()))
         .collect();
-    let mut kept = HeaderMap::with_capacity(headers.len());
+    let mut end_to_end = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
-        let of_connection = OF_CONNECTION.contains(name) || name == "keep-alive";
-        if !of_connection && !named.iter().any(|n| n == name.as_str()) {
-            kept.append(name, value.clone());
+        let hop_by_hop = HOP_BY_HOP.contains(name) || name == "keep-alive";
+        if !hop_by_hop && !listed_in_connection.iter().any(|listed| listed == name.as_str()) {
+            end_to_end.append(name, value.clone());
         }
     }
-    kept
+    end_to_end
 }
 
 #[cfg(test)]
--- a/crates/node/src/engine/message/tests.rs
+++ b/crates/node/src/engine/message/tests.rs
@@ -1,17 +1,17 @@
-//! Requests as fronts hand them on.
+//! Tests for requests as listeners submit them.
 
 use hyper::header::HeaderValue;
 
 use super::*;
 
 #[test]
-fn a_client_marks_what_it_tries_again() {
-    for (mark, repeat) in
+fn a_retry_is_recognised_by_its_header() {
+    for (value, is_retry) in
         [(None, false), (Some("1"), true), (Some(" 1"), true), (Some("0"), false), (Some("11"), false)]
     {
         let mut headers = HeaderMap::new();
-        headers.extend(mark.map(|mark| {
-            (hyper::header::HeaderName::from_static("x-retried"), HeaderValue::from_static(mark))
+        headers.extend(value.map(|value| {
+            (hyper::header::HeaderName::from_static("x-retried"), HeaderValue::from_static(value))
         }));
         let forward = ForwardedRequest {
             method: Method::GET,
@@ -19,6 +19,6 @@
             headers,
             body: Bytes::new(),
         };
-        assert_eq!(forward.is_client_retry(), repeat, "{mark:?}");
+        assert_eq!(forward.is_client_retry(), is_retry, "{value:?}");
     }
 }
--- a/crates/node/src/engine/wall_clock.rs
+++ b/crates/node/src/engine/wall_clock.rs
@@ -1,12 +1,12 @@
-//! This machine's wall clock, which may be stepped at any time. It is read once and tied to the monotonic clock, so that
-//! later steps change nothing.
+//! This machine's wall clock, which may be stepped at any time. The wall clock is read once and then
+//! follows the monotonic clock, so that later steps have no effect.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use sagemast::api::Millis;
 use tokio::time::Instant;
 
-/// What the wall clock showed at an instant.
+/// A reading of the wall clock, together with the instant at which it was taken.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WallClock {
     unix_ms: Millis,
@@ -14,18 +14,19 @@
 }
 
 impl WallClock {
-    /// The machine's wall clock as it stands now. A time before 1970 reads as 1970.
+    /// Reads the machine's wall clock now. A time before 1970 is read as 1970.
     pub fn read() -> WallClock {
         let since_1970 = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        WallClock::showing(since_1970.as_secs_f64() * 1e3)
+        WallClock::from_unix_ms(since_1970.as_secs_f64() * 1e3)
     }
 
-    /// A wall clock that shows this Unix time now, in milliseconds.
-    pub fn showing(unix_ms: Millis) -> WallClock {
+    /// Creates a wall clock that shows this Unix time now, in milliseconds.
+    pub fn from_unix_ms(unix_ms: Millis) -> WallClock {
         WallClock { unix_ms, read_at: Instant::now() }
     }
 
-    /// What it showed or would show at an instant if it had run on evenly.
+    /// Returns the Unix time at an earlier or later instant, in milliseconds, as if the wall clock were never
+    /// stepped.
     pub fn unix_ms_at(&self, at: Instant) -> Millis {
         let since = at.saturating_duration_since(self.read_at).as_secs_f64();
         let before = self.read_at.saturating_duration_since(at).as_secs_f64();
