--- a/crates/node/src/transports/http1/attempt.rs
+++ b/crates/node/src/transports/http1/attempt.rs
@@ -6,55 +6,57 @@
 use sagemast::api::Outcome;
 use tokio::time::{Instant, sleep, sleep_until};
 
+use super::connect_retries::ConnectRetries;
 use super::connection::Connection;
-use super::exchange::{Failure, exchange, explain, outcome_of, size_on_the_wire, upstream_request};
-use super::local_failure::FurtherTries;
-use super::rules::AttemptRules;
-use super::stream::{StreamState, Withheld};
-use super::transport::{NoConnection, Shared, Source};
+use super::exchange::{
+    ExchangeError, encoded_request_size, error_with_source, exchange, outcome_of, upstream_request,
+};
+use super::stream::{StreamState, WriteDenied};
+use super::transport::{AcquireError, ConnectionSource, Shared};
+use super::write_policy::AttemptWritePolicy;
 use crate::engine::{Attempt, AttemptEnd, MAX_BODY_BYTES, UpstreamInfo};
 
 /// Why nothing was written, where rules of residency forbid it.
-const OUTSIDE: &str = "outside its regions";
+const OUTSIDE_ALLOWED_REGIONS: &str = "outside its regions";
 /// Why an attempt ended that upstreams might not discard as a repeat any more.
-const KEY_WINDOW_CLOSED: &str = "the window of its key closed";
+const IDEMPOTENCY_WINDOW_CLOSED: &str = "the window of its key closed";
 
 /// How an attempt ended over one connection.
 enum ExchangeEnd {
     /// The engine was told.
-    Told,
+    Reported,
     /// In a way that the engine has yet to be told.
     Ended(AttemptEnd),
     /// The idle connection had been closed and no byte was written to it: another may be used.
-    Stale,
+    StaleConnection,
     /// No connection could be opened, for a reason of this machine's: another try may be made.
-    LocalFailure(NoConnection),
+    LocalFailure(AcquireError),
 }
 
 /// Why an attempt has no connection.
-enum Unconnected {
+enum ConnectFailure {
     /// It is not wanted any more, or its key's window closed.
-    Over,
+    Abandoned,
     /// None came up.
-    Failed(NoConnection),
+    Failed(AcquireError),
 }
 
 /// How far the request of an exchange has been written.
-struct Progress {
+struct WriteProgress {
     stream: Arc<StreamState>,
     /// The count of bytes before its first byte.
-    before: u64,
+    start_offset: u64,
     /// The count with its last byte.
-    complete_at: u64,
+    end_offset: u64,
 }
 
-impl Progress {
-    fn is_unwritten(&self) -> bool {
-        self.stream.written() == self.before
+impl WriteProgress {
+    fn nothing_written(&self) -> bool {
+        self.stream.written() == self.start_offset
     }
 
-    fn is_whole(&self) -> bool {
-        self.stream.written() >= self.complete_at
+    fn is_complete(&self) -> bool {
+        self.stream.written() >= self.end_offset
     }
 }
 
@@ -63,148 +65,159 @@
     pub(super) async fn run_attempt(
         self: Arc<Shared>,
         mut attempt: Attempt,
-        mut source: Source,
-        mut peer: UpstreamInfo,
+        mut source: ConnectionSource,
+        mut upstream_info: UpstreamInfo,
     ) {
         let info = attempt.info;
-        let mut tries = FurtherTries::new(info.until);
+        let mut retries = ConnectRetries::new(info.until);
         // Each turn uses up a connection of the pool or a further try, and there is an end to both.
         loop {
-            let next = match self.attempt_once(&mut attempt, source, &peer).await {
-                ExchangeEnd::Told => return,
-                ExchangeEnd::Ended(end) => return self.reports.attempt_ended(info, end),
-                ExchangeEnd::Stale => {
+            let next = match self.run_over_one_connection(&mut attempt, source, &upstream_info).await {
+                ExchangeEnd::Reported => return,
+                ExchangeEnd::Ended(end) => return self.events.attempt_ended(info, end),
+                ExchangeEnd::StaleConnection => {
                     self.state().counts.stale += 1;
-                    self.replacement(&mut attempt, &peer)
+                    self.replacement_source(&mut attempt, &upstream_info)
                 }
                 ExchangeEnd::LocalFailure(failure) => {
-                    self.after_local_failure(&mut attempt, &peer, &mut tries, failure).await
+                    self.retry_after_local_failure(&mut attempt, &upstream_info, &mut retries, failure).await
                 }
             };
-            (source, peer) = match next {
+            (source, upstream_info) = match next {
                 Ok(next) => next,
-                Err(end) => return self.reports.attempt_ended(info, *end),
+                Err(end) => return self.events.attempt_ended(info, *end),
             };
         }
     }
 
     /// Runs an attempt over one connection.
-    async fn attempt_once(
+    async fn run_over_one_connection(
         self: &Arc<Shared>,
         attempt: &mut Attempt,
-        source: Source,
-        peer: &UpstreamInfo,
+        source: ConnectionSource,
+        upstream_info: &UpstreamInfo,
     ) -> ExchangeEnd {
         let info = attempt.info;
         let pooled = source.is_pooled();
-        let connection = match self.connect_attempt(attempt, source, peer).await {
+        let connection = match self.connect_for_attempt(attempt, source, upstream_info).await {
             Ok(connection) => connection,
-            Err(end) => return end_of_unconnected(end),
+            Err(end) => return end_without_connection(end),
         };
-        rest(attempt, &connection).await;
+        wait_until_reusable(attempt, &connection).await;
         // Meanwhile its time may have run out, the request may have ended or the upstream may have begun to drain or to
         // live anew: what is not written yet must not be.
-        let rules = AttemptRules::new(self, attempt, peer);
-        let allowed = if attempt.is_cancelled() { Err(Withheld::NotWanted) } else { rules.check() };
+        let policy = AttemptWritePolicy::new(self, attempt, upstream_info);
+        let allowed = if attempt.is_cancelled() {
+            Err(WriteDenied::AnswerNotWanted)
+        } else {
+            policy.check_preconditions()
+        };
         if let Err(reason) = allowed {
-            self.reports.attempt_ended(info, end_of_unwritten(reason, connection.used));
-            self.keep(info.upstream, peer.incarnation, connection).await;
-            return ExchangeEnd::Told;
+            self.events.attempt_ended(info, end_before_first_byte(reason, connection.used));
+            self.return_to_pool(info.upstream, upstream_info.incarnation, connection).await;
+            return ExchangeEnd::Reported;
         }
-        self.exchange_attempt(attempt, connection, pooled, rules).await
+        self.run_exchange(attempt, connection, pooled, policy).await
     }
 
     /// Another connection for an attempt whose idle one had been closed.
-    fn replacement(
+    fn replacement_source(
         self: &Arc<Shared>,
         attempt: &mut Attempt,
-        peer: &UpstreamInfo,
-    ) -> Result<(Source, UpstreamInfo), Box<AttemptEnd>> {
+        upstream_info: &UpstreamInfo,
+    ) -> Result<(ConnectionSource, UpstreamInfo), Box<AttemptEnd>> {
         if attempt.is_cancelled() {
-            return Err(Box::new(end_of_unwritten(Withheld::NotWanted, true)));
+            return Err(Box::new(end_before_first_byte(WriteDenied::AnswerNotWanted, true)));
         }
-        let allowed = AttemptRules::new(self, attempt, peer).check();
-        allowed.map_err(|reason| Box::new(end_of_unwritten(reason, true)))?;
-        let source = self.source(attempt.info.upstream, attempt.info.until);
+        let allowed = AttemptWritePolicy::new(self, attempt, upstream_info).check_preconditions();
+        allowed.map_err(|reason| Box::new(end_before_first_byte(reason, true)))?;
+        let source = self.acquire_source(attempt.info.upstream, attempt.info.until);
         source.ok_or_else(|| Box::new(AttemptEnd::Outcome(Outcome::NotSent, None)))
     }
 
     /// Another connection for an attempt that could not open one, after a pause. It says nothing about the upstream.
-    async fn after_local_failure(
+    async fn retry_after_local_failure(
         self: &Arc<Shared>,
         attempt: &mut Attempt,
-        peer: &UpstreamInfo,
-        tries: &mut FurtherTries,
-        failure: NoConnection,
-    ) -> Result<(Source, UpstreamInfo), Box<AttemptEnd>> {
-        let Some(pause) = tries.next_pause(self.is_another_reachable(attempt.info.upstream)) else {
+        upstream_info: &UpstreamInfo,
+        retries: &mut ConnectRetries,
+        failure: AcquireError,
+    ) -> Result<(ConnectionSource, UpstreamInfo), Box<AttemptEnd>> {
+        let Some(backoff) = retries.next_backoff(self.has_idle_connection_to_another(attempt.info.upstream))
+        else {
             return Err(Box::new(AttemptEnd::Failed(Outcome::LocalFailure, failure.to_string())));
         };
         tokio::select! {
             biased;
-            _ = &mut attempt.cancelled => return Err(Box::new(end_of_unwritten(Withheld::NotWanted, true))),
-            () = sleep(pause) => {}
+            _ = &mut attempt.cancelled =>
+                return Err(Box::new(end_before_first_byte(WriteDenied::AnswerNotWanted, true))),
+            () = sleep(backoff) => {}
         }
-        self.replacement(attempt, peer)
+        self.replacement_source(attempt, upstream_info)
     }
 
     /// Opens a connection for an attempt, if it has none yet.
-    async fn connect_attempt(
+    async fn connect_for_attempt(
         &self,
         attempt: &mut Attempt,
-        source: Source,
-        peer: &UpstreamInfo,
-    ) -> Result<Connection, Unconnected> {
-        let window_closes = closes(attempt);
-        let until = attempt.info.until.min(window_closes.unwrap_or(attempt.info.until));
+        source: ConnectionSource,
+        upstream_info: &UpstreamInfo,
+    ) -> Result<Connection, ConnectFailure> {
+        let window_closes_at = window_closes_at(attempt);
+        let until = attempt.info.until.min(window_closes_at.unwrap_or(attempt.info.until));
         let connected = tokio::select! {
             // One that is open already is not lost to an attempt that was given up.
             biased;
-            connected = self.connect(source, peer, until) => connected,
-            _ = &mut attempt.cancelled => return Err(Unconnected::Over),
+            connected = self.connect(source, upstream_info, until) => connected,
+            _ = &mut attempt.cancelled => return Err(ConnectFailure::Abandoned),
         };
         connected.map_err(|failure| {
-            let window_closed = window_closes.is_some_and(|at| Instant::now() >= at);
+            let window_closed = window_closes_at.is_some_and(|at| Instant::now() >= at);
             if attempt.is_cancelled() || window_closed {
-                Unconnected::Over
+                ConnectFailure::Abandoned
             } else {
-                Unconnected::Failed(failure)
+                ConnectFailure::Failed(failure)
             }
         })
     }
 
     /// Runs an attempt over a connection until it ends, its time is up or it is given up.
-    async fn exchange_attempt(
+    async fn run_exchange(
         &self,
         attempt: &mut Attempt,
         mut connection: Connection,
         pooled: bool,
-        rules: AttemptRules,
+        policy: AttemptWritePolicy,
     ) -> ExchangeEnd {
         let info = attempt.info;
-        let peer = rules.peer.clone();
-        let request = upstream_request(&attempt.forward, peer.dial, info.until);
-        let rested = connection.idle_since.elapsed();
-        let before = connection.stream.written();
-        let size = size_on_the_wire(&request, attempt.forward.body.len());
-        let progress = Progress { stream: connection.stream.clone(), before, complete_at: before + size };
-        let window_closes = closes(attempt);
+        let upstream_info = policy.upstream_info.clone();
+        let request = upstream_request(&attempt.forward, upstream_info.dial, info.until);
+        let idle_time = connection.idle_since.elapsed();
+        let start_offset = connection.stream.written();
+        let size = encoded_request_size(&request, attempt.forward.body.len());
+        let progress = WriteProgress {
+            stream: connection.stream.clone(),
+            start_offset,
+            end_offset: start_offset + size,
+        };
+        let window_closes_at = window_closes_at(attempt);
         let exchanged = {
-            let exchange = exchange(&mut connection, request, Box::new(rules), progress.complete_at);
+            let exchange = exchange(&mut connection, request, Box::new(policy), progress.end_offset);
             tokio::select! {
                 biased;
                 result = exchange => result,
-                _ = &mut attempt.cancelled => Err(Failure::GivenUp),
-                () = sleep_until(info.until) => Err(Failure::TimedOut),
-                () = unfinished_at(window_closes, &progress) => Err(Failure::KeyWindowClosed),
+                _ = &mut attempt.cancelled => Err(ExchangeError::Cancelled),
+                () = sleep_until(info.until) => Err(ExchangeError::TimedOut),
+                () = incomplete_at_window_close(window_closes_at, &progress) =>
+                    Err(ExchangeError::IdempotencyWindowClosed),
             }
         };
         let failure = match exchanged {
             Ok(answer) => {
                 // The engine hears of the answer before the connection settles.
-                self.reports.attempt_ended(info, AttemptEnd::Outcome(outcome_of(&answer), Some(answer)));
-                self.keep(info.upstream, peer.incarnation, connection).await;
-                return ExchangeEnd::Told;
+                self.events.attempt_ended(info, AttemptEnd::Outcome(outcome_of(&answer), Some(answer)));
+                self.return_to_pool(info.upstream, upstream_info.incarnation, connection).await;
+                return ExchangeEnd::Reported;
             }
             Err(failure) => failure,
         };
@@ -212,134 +225,151 @@
         // then is it certain how much was written.
         let used = connection.used;
         connection.close().await;
-        let broken_unwritten = matches!(failure, Failure::Broken(_)) && progress.is_unwritten();
-        if broken_unwritten && pooled && is_stale(progress.stream.withheld()) {
-            return ExchangeEnd::Stale;
+        let broke_before_first_byte =
+            matches!(failure, ExchangeError::ConnectionBroken(_)) && progress.nothing_written();
+        if broke_before_first_byte && pooled && is_stale_connection(progress.stream.first_denial()) {
+            return ExchangeEnd::StaleConnection;
         }
-        if pooled && matches!(failure, Failure::Broken(_)) {
-            attempt.reuse_limit.record_break(rested);
+        if pooled && matches!(failure, ExchangeError::ConnectionBroken(_)) {
+            attempt.reuse_limit.record_break(idle_time);
         }
-        ExchangeEnd::Ended(end_of_failure(failure, &progress, used))
+        ExchangeEnd::Ended(end_of_failed_exchange(failure, &progress, used))
     }
 }
 
 /// When the window of an attempt's key closes, as far as another attempt has opened it.
-fn closes(attempt: &Attempt) -> Option<Instant> {
+fn window_closes_at(attempt: &Attempt) -> Option<Instant> {
     attempt.idempotency_window.as_ref().and_then(|window| window.closes_at(attempt.info.attempt))
 }
 
 /// Waits until a request that has to be written whole by then is not.
-async fn unfinished_at(closes: Option<Instant>, progress: &Progress) {
-    let Some(closes) = closes else { return pending().await };
-    sleep_until(closes).await;
-    if progress.is_whole() {
+async fn incomplete_at_window_close(window_closes_at: Option<Instant>, progress: &WriteProgress) {
+    let Some(window_closes_at) = window_closes_at else { return pending().await };
+    sleep_until(window_closes_at).await;
+    if progress.is_complete() {
         pending().await
     }
 }
 
 /// Waits until a connection has rested, unless the attempt is given up before.
-async fn rest(attempt: &mut Attempt, connection: &Connection) {
-    let rested_at = connection.rested_at();
-    if rested_at > Instant::now() && !attempt.is_cancelled() {
+async fn wait_until_reusable(attempt: &mut Attempt, connection: &Connection) {
+    let reusable_at = connection.reusable_at();
+    if reusable_at > Instant::now() && !attempt.is_cancelled() {
         tokio::select! {
             biased;
             _ = &mut attempt.cancelled => {}
-            () = sleep_until(rested_at) => {}
+            () = sleep_until(reusable_at) => {}
         }
     }
 }
 
 /// The end of an attempt that has no connection.
-fn end_of_unconnected(why: Unconnected) -> ExchangeEnd {
+fn end_without_connection(why: ConnectFailure) -> ExchangeEnd {
     match why {
-        Unconnected::Over => ExchangeEnd::Ended(AttemptEnd::Outcome(Outcome::NotSent, None)),
-        Unconnected::Failed(failure) if failure.is_local() => ExchangeEnd::LocalFailure(failure),
-        Unconnected::Failed(_) => ExchangeEnd::Ended(AttemptEnd::Outcome(Outcome::Unreachable, None)),
+        ConnectFailure::Abandoned => ExchangeEnd::Ended(AttemptEnd::Outcome(Outcome::NotSent, None)),
+        ConnectFailure::Failed(failure) if failure.is_local() => ExchangeEnd::LocalFailure(failure),
+        ConnectFailure::Failed(_) => ExchangeEnd::Ended(AttemptEnd::Outcome(Outcome::Unreachable, None)),
     }
 }
 
 /// Whether a connection that broke before anything was written had only been idle for too long.
-fn is_stale(withheld: Option<Withheld>) -> bool {
-    matches!(withheld, None | Some(Withheld::Closed | Withheld::UnexpectedBytes))
+fn is_stale_connection(first_denial: Option<WriteDenied>) -> bool {
+    matches!(first_denial, None | Some(WriteDenied::ConnectionClosed | WriteDenied::UnexpectedBytes))
 }
 
 /// The end of an attempt of which nothing was written. Where its connection was open already, or there was none to wait
 /// for, the time that ran out was ours.
-fn end_of_unwritten(reason: Withheld, was_open: bool) -> AttemptEnd {
+fn end_before_first_byte(reason: WriteDenied, was_open: bool) -> AttemptEnd {
     match reason {
-        Withheld::TimeIsUp if was_open => AttemptEnd::Outcome(Outcome::NotSent, None),
-        Withheld::NotWanted => AttemptEnd::Outcome(Outcome::NotSent, None),
-        Withheld::OutsideRegions => AttemptEnd::Failed(Outcome::NotSent, OUTSIDE.to_owned()),
-        Withheld::KeyWindowClosed => AttemptEnd::Failed(Outcome::NotSent, KEY_WINDOW_CLOSED.to_owned()),
-        Withheld::TimeIsUp | Withheld::NotServing | Withheld::NoExchange => {
+        WriteDenied::DeadlineExceeded if was_open => AttemptEnd::Outcome(Outcome::NotSent, None),
+        WriteDenied::AnswerNotWanted => AttemptEnd::Outcome(Outcome::NotSent, None),
+        WriteDenied::OutsideAllowedRegions => {
+            AttemptEnd::Failed(Outcome::NotSent, OUTSIDE_ALLOWED_REGIONS.to_owned())
+        }
+        WriteDenied::IdempotencyWindowClosed => {
+            AttemptEnd::Failed(Outcome::NotSent, IDEMPOTENCY_WINDOW_CLOSED.to_owned())
+        }
+        WriteDenied::DeadlineExceeded | WriteDenied::NotServing | WriteDenied::NoExchange => {
             AttemptEnd::Outcome(Outcome::Unreachable, None)
         }
-        Withheld::Closed => AttemptEnd::Failed(Outcome::Unreachable, "closed before the request".to_owned()),
-        Withheld::UnexpectedBytes => {
+        WriteDenied::ConnectionClosed => {
+            AttemptEnd::Failed(Outcome::Unreachable, "closed before the request".to_owned())
+        }
+        WriteDenied::UnexpectedBytes => {
             AttemptEnd::Failed(Outcome::Unreachable, "bytes came before the request".to_owned())
         }
     }
 }
 
 /// The end of an attempt whose connection is closed, by what was written of it.
-fn end_of_failure(failure: Failure, progress: &Progress, used: bool) -> AttemptEnd {
-    if let (Failure::Broken(_), true, Some(reason)) =
-        (&failure, progress.is_unwritten(), progress.stream.withheld())
+fn end_of_failed_exchange(failure: ExchangeError, progress: &WriteProgress, used: bool) -> AttemptEnd {
+    if let (ExchangeError::ConnectionBroken(_), true, Some(reason)) =
+        (&failure, progress.nothing_written(), progress.stream.first_denial())
     {
-        return end_of_unwritten(reason, used);
+        return end_before_first_byte(reason, used);
     }
     match failure {
-        Failure::TimedOut if used && progress.is_unwritten() => end_of_unwritten(Withheld::TimeIsUp, used),
-        Failure::GivenUp if progress.is_unwritten() => AttemptEnd::Outcome(Outcome::NotSent, None),
-        Failure::KeyWindowClosed if progress.is_unwritten() => {
-            end_of_unwritten(Withheld::KeyWindowClosed, used)
+        ExchangeError::TimedOut if used && progress.nothing_written() => {
+            end_before_first_byte(WriteDenied::DeadlineExceeded, used)
+        }
+        ExchangeError::Cancelled if progress.nothing_written() => AttemptEnd::Outcome(Outcome::NotSent, None),
+        ExchangeError::IdempotencyWindowClosed if progress.nothing_written() => {
+            end_before_first_byte(WriteDenied::IdempotencyWindowClosed, used)
         }
         // The upstream says that it never ran.
-        Failure::Early(answer) if outcome_of(&answer) == Outcome::Full => {
+        ExchangeError::EarlyAnswer(answer) if outcome_of(&answer) == Outcome::Full => {
             AttemptEnd::Outcome(Outcome::Full, Some(answer))
         }
-        Failure::GivenUp => AttemptEnd::Outcome(Outcome::Cancelled, None),
-        failure if progress.is_whole() => end_of_written(failure, used),
+        ExchangeError::Cancelled => AttemptEnd::Outcome(Outcome::Cancelled, None),
+        failure if progress.is_complete() => end_after_complete_request(failure, used),
         // Its client left while it was written; the rest never will be.
-        Failure::Broken(_) if progress.stream.withheld() == Some(Withheld::NotWanted) => {
+        ExchangeError::ConnectionBroken(_)
+            if progress.stream.first_denial() == Some(WriteDenied::AnswerNotWanted) =>
+        {
             AttemptEnd::Outcome(Outcome::Cancelled, None)
         }
-        failure => end_of_partly_written(failure),
+        failure => end_after_partial_request(failure),
     }
 }
 
 /// The end of an attempt whose last byte was written: it may have run.
-fn end_of_written(failure: Failure, used: bool) -> AttemptEnd {
+fn end_after_complete_request(failure: ExchangeError, used: bool) -> AttemptEnd {
     match failure {
-        Failure::Broken(error) => {
+        ExchangeError::ConnectionBroken(error) => {
             let what = if used { "a used connection" } else { "a new connection" };
-            AttemptEnd::Failed(Outcome::Reset, format!("{what} broke: {}", explain(&error)))
+            AttemptEnd::Failed(Outcome::Reset, format!("{what} broke: {}", error_with_source(&error)))
         }
-        Failure::Early(_) => {
+        ExchangeError::EarlyAnswer(_) => {
             AttemptEnd::Failed(Outcome::Reset, "answered before the request was written".to_owned())
         }
-        Failure::TooLong => {
+        ExchangeError::AnswerTooLong => {
             AttemptEnd::Failed(Outcome::Error, format!("an answer longer than {MAX_BODY_BYTES} bytes"))
         }
-        Failure::TimedOut => AttemptEnd::Outcome(Outcome::TimedOut, None),
-        Failure::GivenUp => AttemptEnd::Outcome(Outcome::Cancelled, None),
-        Failure::KeyWindowClosed => AttemptEnd::Failed(Outcome::Cancelled, KEY_WINDOW_CLOSED.to_owned()),
+        ExchangeError::TimedOut => AttemptEnd::Outcome(Outcome::TimedOut, None),
+        ExchangeError::Cancelled => AttemptEnd::Outcome(Outcome::Cancelled, None),
+        ExchangeError::IdempotencyWindowClosed => {
+            AttemptEnd::Failed(Outcome::Cancelled, IDEMPOTENCY_WINDOW_CLOSED.to_owned())
+        }
     }
 }
 
 /// The end of an attempt whose last byte was never written, and now never will be.
-fn end_of_partly_written(failure: Failure) -> AttemptEnd {
+fn end_after_partial_request(failure: ExchangeError) -> AttemptEnd {
     match failure {
-        Failure::Broken(error) => AttemptEnd::Failed(Outcome::Unreachable, explain(&error)),
-        Failure::Early(answer) => {
+        ExchangeError::ConnectionBroken(error) => {
+            AttemptEnd::Failed(Outcome::Unreachable, error_with_source(&error))
+        }
+        ExchangeError::EarlyAnswer(answer) => {
             let status = answer.status.as_u16();
             let reason = format!("answered {status} before the request was written");
             AttemptEnd::Failed(Outcome::Unreachable, reason)
         }
-        Failure::TooLong => {
+        ExchangeError::AnswerTooLong => {
             AttemptEnd::Failed(Outcome::Unreachable, "a long answer before the request".to_owned())
         }
-        Failure::KeyWindowClosed => AttemptEnd::Failed(Outcome::Unreachable, KEY_WINDOW_CLOSED.to_owned()),
-        Failure::TimedOut | Failure::GivenUp => AttemptEnd::Outcome(Outcome::Unreachable, None),
+        ExchangeError::IdempotencyWindowClosed => {
+            AttemptEnd::Failed(Outcome::Unreachable, IDEMPOTENCY_WINDOW_CLOSED.to_owned())
+        }
+        ExchangeError::TimedOut | ExchangeError::Cancelled => AttemptEnd::Outcome(Outcome::Unreachable, None),
     }
 }
--- a/crates/node/src/transports/http1/connection.rs
+++ b/crates/node/src/transports/http1/connection.rs
@@ -13,14 +13,14 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, timeout, timeout_at};
 
-use super::pool::REST;
+use super::pool::MIN_IDLE_BEFORE_REUSE;
 use super::stream::{GuardedStream, StreamState};
 use crate::socket::{ConnectError, SystemCalls, connect};
 
 /// Room for a head; hyper also reads bodies through it.
 const BUFFER_BYTES: usize = 32 << 10;
 /// How long a connection may take to become ready for the next request once an answer was read.
-const SETTLE: Duration = Duration::from_millis(100);
+const READY_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// An open connection. Dropped, it is closed by its task soon after; [`Connection::close`] waits until it is.
 ///
@@ -81,13 +81,13 @@
     }
 
     /// When it may carry the next request: one that carried none yet at once, any other once it has rested.
-    pub fn rested_at(&self) -> Instant {
-        if self.used { self.idle_since + REST } else { self.idle_since }
+    pub fn reusable_at(&self) -> Instant {
+        if self.used { self.idle_since + MIN_IDLE_BEFORE_REUSE } else { self.idle_since }
     }
 
     /// Waits until the next request can be sent. `None` if the upstream closes it.
-    pub async fn settle(mut self) -> Option<Connection> {
-        timeout(SETTLE, self.sender.ready()).await.ok()?.ok()?;
+    pub async fn wait_until_ready(mut self) -> Option<Connection> {
+        timeout(READY_TIMEOUT, self.sender.ready()).await.ok()?.ok()?;
         Some(self)
     }
 }
--- a/crates/node/src/transports/http1/exchange.rs
+++ b/crates/node/src/transports/http1/exchange.rs
@@ -12,29 +12,29 @@
 use tokio::time::Instant;
 
 use super::connection::Connection;
-use super::stream::WriteRules;
+use super::stream::WritePolicy;
 use crate::engine::{Answer, ForwardedRequest, MAX_BODY_BYTES};
 
 /// So much less time than is left is told to upstreams. What is told may exceed what the client has left by 150 ms, all
 /// of which a hold-up before the write may take.
-const TOLD_IN_HAND: Duration = Duration::from_millis(12);
+const TIMEOUT_MARGIN: Duration = Duration::from_millis(12);
 /// But never more than one such part of what is left.
-const TOLD_SHARE_IN_HAND: u32 = 8;
+const TIMEOUT_MARGIN_DIVISOR: u32 = 8;
 
 /// Why an exchange brought no answer to the request.
-pub enum Failure {
+pub enum ExchangeError {
     /// The connection broke, or the answer was no HTTP.
-    Broken(hyper::Error),
+    ConnectionBroken(hyper::Error),
     /// An answer that began before the request's last byte was written.
-    Early(Answer),
+    EarlyAnswer(Answer),
     /// An answer that is too long to take.
-    TooLong,
+    AnswerTooLong,
     /// The engine gave it up.
-    GivenUp,
+    Cancelled,
     /// Its time was up.
     TimedOut,
     /// The window of its key closed before its last byte was written.
-    KeyWindowClosed,
+    IdempotencyWindowClosed,
 }
 
 /// Sends a request once and reads its answer whole. `complete_at` is the count of bytes written at which the request
@@ -42,26 +42,28 @@
 pub async fn exchange(
     connection: &mut Connection,
     request: Request<Full<Bytes>>,
-    rules: Box<dyn WriteRules>,
-    complete_at: u64,
-) -> Result<Answer, Failure> {
+    rules: Box<dyn WritePolicy>,
+    end_offset: u64,
+) -> Result<Answer, ExchangeError> {
     // From here on, and until this returns or is dropped, the request may be written.
     let _exchange = connection.stream.begin_exchange(rules);
-    let response = connection.sender.send_request(request).await.map_err(Failure::Broken)?;
+    let response = connection.sender.send_request(request).await.map_err(ExchangeError::ConnectionBroken)?;
     connection.used = true;
-    let early = connection.stream.written() < complete_at;
+    let early = connection.stream.written() < end_offset;
     let answer = read_answer(response).await?;
     connection.idle_since = Instant::now();
-    if early { Err(Failure::Early(answer)) } else { Ok(answer) }
+    if early { Err(ExchangeError::EarlyAnswer(answer)) } else { Ok(answer) }
 }
 
 /// Reads the rest of an answer. One with no length ends with its connection; where that is reset, it has no end.
-async fn read_answer(response: Response<Incoming>) -> Result<Answer, Failure> {
+async fn read_answer(response: Response<Incoming>) -> Result<Answer, ExchangeError> {
     let (head, body) = response.into_parts();
     match Limited::new(body, MAX_BODY_BYTES).collect().await {
         Ok(body) => Ok(Answer { status: head.status, headers: head.headers, body: body.to_bytes() }),
         // What is not the body's own error is its length.
-        Err(error) => Err(error.downcast().map_or(Failure::TooLong, |error| Failure::Broken(*error))),
+        Err(error) => Err(error
+            .downcast()
+            .map_or(ExchangeError::AnswerTooLong, |error| ExchangeError::ConnectionBroken(*error))),
     }
 }
 
@@ -69,7 +71,7 @@
 ///
 /// It must never exceed what hyper writes. hyper adds nothing to such a request, and leaves out a
 /// `Transfer-Encoding` only, which none of ours has.
-pub fn size_on_the_wire(request: &Request<Full<Bytes>>, body: usize) -> u64 {
+pub fn encoded_request_size(request: &Request<Full<Bytes>>, body: usize) -> u64 {
     let target = request.uri().path_and_query().map_or(1, |target| target.as_str().len());
     let line = request.method().as_str().len() + 1 + target + " HTTP/1.1\r\n".len();
     let headers: usize =
@@ -89,7 +91,7 @@
 }
 
 /// An error with what caused it.
-pub fn explain(error: &hyper::Error) -> String {
+pub fn error_with_source(error: &hyper::Error) -> String {
     match std::error::Error::source(error) {
         Some(source) => format!("{error}: {source}"),
         None => error.to_string(),
@@ -112,8 +114,10 @@
     {
         headers.insert(header::HOST, host);
     }
-    headers
-        .insert("x-timeout-ms", HeaderValue::from(told_ms(until.saturating_duration_since(Instant::now()))));
+    headers.insert(
+        "x-timeout-ms",
+        HeaderValue::from(advertised_timeout_ms(until.saturating_duration_since(Instant::now()))),
+    );
     if forward.method != Method::GET || !forward.body.is_empty() {
         headers.insert(header::CONTENT_LENGTH, HeaderValue::from(forward.body.len()));
     }
@@ -123,8 +127,8 @@
 
 /// The time that an upstream is told, where so much is left: less by what the ways of the request to this sidecar and on
 /// from it may take, of which the client's own clock knows. Where little is left, less of it is kept.
-pub fn told_ms(left: Duration) -> u64 {
-    let told = left - TOLD_IN_HAND.min(left / TOLD_SHARE_IN_HAND);
+pub fn advertised_timeout_ms(left: Duration) -> u64 {
+    let told = left - TIMEOUT_MARGIN.min(left / TIMEOUT_MARGIN_DIVISOR);
     told.as_millis().max(1) as u64
 }
 
--- a/crates/node/src/transports/http1/mod.rs
+++ b/crates/node/src/transports/http1/mod.rs
@@ -1,15 +1,15 @@
 //! HTTP/1.1 to upstreams: one exchange at a time on a connection, and idle ones kept for the next.
 
 mod attempt;
+mod connect_retries;
 mod connection;
 mod exchange;
-mod local_failure;
 mod pool;
 mod probe;
-mod rules;
 mod settings;
 mod stream;
 mod transport;
+mod write_policy;
 
 #[cfg(test)]
 mod tests;
--- a/crates/node/src/transports/http1/pool.rs
+++ b/crates/node/src/transports/http1/pool.rs
@@ -9,28 +9,28 @@
 /// A connection that was used less than this ago may still bring bytes that belong to no request: a second answer to
 /// the last one, or the beginning of one. Those that lie in the socket are seen before the first byte is written; those
 /// that cross it on the wire are not, and would be taken for the answer to the next request.
-pub const REST: Duration = Duration::from_millis(20);
+pub const MIN_IDLE_BEFORE_REUSE: Duration = Duration::from_millis(20);
 
 /// Which of the idle connections is used next, by when each of them has rested, the longest idle first.
 ///
 /// Among those that have rested the latest used is taken, so that the others can grow old and close. With none, the one
 /// that will have rested first is taken, if that is by `latest`, and whoever takes it waits until then. A handshake
 /// costs the upstream work and the request time; a short wait costs nothing but itself.
-pub fn choose(
-    rested_at: impl DoubleEndedIterator<Item = Instant> + ExactSizeIterator,
+pub fn choose_connection(
+    reusable_at: impl DoubleEndedIterator<Item = Instant> + ExactSizeIterator,
     now: Instant,
     latest: Instant,
 ) -> Option<usize> {
-    let mut first = (None, latest);
-    for (place, at) in rested_at.enumerate().rev() {
+    let mut best = (None, latest);
+    for (index, at) in reusable_at.enumerate().rev() {
         if at <= now {
-            return Some(place);
+            return Some(index);
         }
-        if at <= first.1 {
-            first = (Some(place), at);
+        if at <= best.1 {
+            best = (Some(index), at);
         }
     }
-    first.0
+    best.0
 }
 
 /// The idle connections to one upstream, the longest idle first.
@@ -42,23 +42,23 @@
 impl Pool {
     /// Takes the one that is to be used next by what has to end by `until`, if there is one. It may have to rest first,
     /// for half of that time at most.
-    pub fn take(&mut self, idle_limit: Duration, until: Instant) -> Option<Connection> {
-        self.sweep(idle_limit);
+    pub fn take(&mut self, idle_timeout: Duration, until: Instant) -> Option<Connection> {
+        self.sweep(idle_timeout);
         let now = Instant::now();
         let latest = now + until.saturating_duration_since(now) / 2;
-        let place = choose(self.idle.iter().map(Connection::rested_at), now, latest)?;
-        Some(self.idle.remove(place))
+        let index = choose_connection(self.idle.iter().map(Connection::reusable_at), now, latest)?;
+        Some(self.idle.remove(index))
     }
 
     /// Takes one back.
     pub fn put(&mut self, connection: Connection) {
-        let place = self.idle.partition_point(|idle| idle.idle_since <= connection.idle_since);
-        self.idle.insert(place, connection);
+        let index = self.idle.partition_point(|idle| idle.idle_since <= connection.idle_since);
+        self.idle.insert(index, connection);
     }
 
     /// Closes those that were closed by the upstream or have been idle for too long.
-    pub fn sweep(&mut self, idle_limit: Duration) {
-        self.idle.retain(|c| c.is_usable() && c.idle_since.elapsed() < idle_limit);
+    pub fn sweep(&mut self, idle_timeout: Duration) {
+        self.idle.retain(|c| c.is_usable() && c.idle_since.elapsed() < idle_timeout);
     }
 
     /// How many there are.
--- a/crates/node/src/transports/http1/probe.rs
+++ b/crates/node/src/transports/http1/probe.rs
@@ -5,21 +5,21 @@
 use sagemast::api::UpstreamId;
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
-use super::exchange::{exchange, probe_request, size_on_the_wire};
-use super::local_failure::FurtherTries;
-use super::stream::{Withheld, WriteRules};
+use super::connect_retries::ConnectRetries;
+use super::exchange::{encoded_request_size, exchange, probe_request};
+use super::stream::{WriteDenied, WritePolicy};
 use super::transport::Shared;
 use crate::engine::Answer;
 
 /// What may be written at any time, as a probe may.
-pub struct Always;
+pub struct AlwaysAllow;
 
-impl WriteRules for Always {
-    fn begin(&self) -> Result<(), Withheld> {
+impl WritePolicy for AlwaysAllow {
+    fn check_first_write(&self) -> Result<(), WriteDenied> {
         Ok(())
     }
 
-    fn proceed(&self) -> Result<(), Withheld> {
+    fn check_next_write(&self) -> Result<(), WriteDenied> {
         Ok(())
     }
 }
@@ -27,49 +27,55 @@
 impl Shared {
     /// Probes an upstream and tells what came of it.
     pub(super) async fn run_probe(self: Arc<Shared>, upstream: UpstreamId, until: Instant) {
-        let mut tries = FurtherTries::new(until);
+        let mut retries = ConnectRetries::new(until);
         // Each turn uses up a connection of the pool or a further try, and there is an end to both.
         while Instant::now() < until {
             match self.probe_once(upstream, until).await {
                 ProbeEnd::Answered => return,
                 ProbeEnd::Failed => break,
-                ProbeEnd::Stale => self.state().counts.stale += 1,
-                ProbeEnd::LocalFailure => match tries.next_pause(false) {
-                    Some(pause) => sleep(pause).await,
+                ProbeEnd::StaleConnection => self.state().counts.stale += 1,
+                ProbeEnd::LocalFailure => match retries.next_backoff(false) {
+                    Some(backoff) => sleep(backoff).await,
                     None => break,
                 },
             }
         }
-        self.reports.probe_ended(upstream, None);
+        self.events.probe_ended(upstream, None);
     }
 
     async fn probe_once(&self, upstream: UpstreamId, until: Instant) -> ProbeEnd {
-        let Some((source, peer)) = self.source(upstream, until) else { return ProbeEnd::Failed };
+        let Some((source, upstream_info)) = self.acquire_source(upstream, until) else {
+            return ProbeEnd::Failed;
+        };
         let pooled = source.is_pooled();
-        let mut connection = match self.connect(source, &peer, until).await {
+        let mut connection = match self.connect(source, &upstream_info, until).await {
             Ok(connection) => connection,
             Err(failure) if failure.is_local() => return ProbeEnd::LocalFailure,
             Err(_) => return ProbeEnd::Failed,
         };
-        sleep_until(connection.rested_at()).await;
-        let before = connection.stream.written();
-        let request = probe_request(self.settings.probe_path, peer.dial);
-        let complete_at = before + size_on_the_wire(&request, 0);
+        sleep_until(connection.reusable_at()).await;
+        let start_offset = connection.stream.written();
+        let request = probe_request(self.settings.probe_path, upstream_info.dial);
+        let end_offset = start_offset + encoded_request_size(&request, 0);
         let exchanged =
-            timeout_at(until, exchange(&mut connection, request, Box::new(Always), complete_at)).await;
+            timeout_at(until, exchange(&mut connection, request, Box::new(AlwaysAllow), end_offset)).await;
         if let Ok(Ok(answer)) = exchanged {
-            self.tell_probed(upstream, answer);
-            self.keep(upstream, peer.incarnation, connection).await;
+            self.report_probe_answer(upstream, answer);
+            self.return_to_pool(upstream, upstream_info.incarnation, connection).await;
             return ProbeEnd::Answered;
         }
         let stream = connection.stream.clone();
         connection.close().await;
-        let unwritten = stream.written() == before;
-        if pooled && unwritten && exchanged.is_ok() { ProbeEnd::Stale } else { ProbeEnd::Failed }
+        let nothing_written = stream.written() == start_offset;
+        if pooled && nothing_written && exchanged.is_ok() {
+            ProbeEnd::StaleConnection
+        } else {
+            ProbeEnd::Failed
+        }
     }
 
-    fn tell_probed(&self, upstream: UpstreamId, answer: Answer) {
-        self.reports.probe_ended(upstream, Some(answer));
+    fn report_probe_answer(&self, upstream: UpstreamId, answer: Answer) {
+        self.events.probe_ended(upstream, Some(answer));
     }
 }
 
@@ -80,7 +86,7 @@
     /// Without one.
     Failed,
     /// The idle connection had been closed, and nothing was written to it: another may be used.
-    Stale,
+    StaleConnection,
     /// No connection could be opened, for a reason of this machine's.
     LocalFailure,
 }
--- a/crates/node/src/transports/http1/stream.rs
+++ b/crates/node/src/transports/http1/stream.rs
@@ -16,37 +16,37 @@
 
 /// Why a write was not made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Withheld {
+pub enum WriteDenied {
     /// The upstream had closed or reset the connection before anything was written.
-    Closed,
+    ConnectionClosed,
     /// The upstream had sent bytes that no request of this exchange can have caused.
     UnexpectedBytes,
     /// No exchange is under way.
     NoExchange,
     /// Nobody waits for the answer any more.
-    NotWanted,
+    AnswerNotWanted,
     /// The attempt's time was up.
-    TimeIsUp,
+    DeadlineExceeded,
     /// The upstream drains, is gone or was restarted.
     NotServing,
     /// Rules of residency forbid it.
-    OutsideRegions,
+    OutsideAllowedRegions,
     /// Upstreams might not discard the request as a repeat any more.
-    KeyWindowClosed,
+    IdempotencyWindowClosed,
 }
 
 /// Decides on the writes of one exchange.
-pub trait WriteRules: Send {
+pub trait WritePolicy: Send {
     /// Whether its first byte may be written now.
-    fn begin(&self) -> Result<(), Withheld>;
+    fn check_first_write(&self) -> Result<(), WriteDenied>;
     /// Whether a further byte may be written now.
-    fn proceed(&self) -> Result<(), Withheld>;
+    fn check_next_write(&self) -> Result<(), WriteDenied>;
 }
 
 /// An exchange that is under way on a stream.
 struct Exchange {
-    rules: Box<dyn WriteRules>,
-    begun: bool,
+    policy: Box<dyn WritePolicy>,
+    started: bool,
 }
 
 /// What a stream shares with the owner of its connection; hyper owns the stream itself.
@@ -54,7 +54,7 @@
 pub struct StreamState {
     written: AtomicU64,
     exchange: Mutex<Option<Exchange>>,
-    withheld: Mutex<Option<Withheld>>,
+    first_denial: Mutex<Option<WriteDenied>>,
 }
 
 impl StreamState {
@@ -64,33 +64,35 @@
     }
 
     /// Why the first write that was not made was not.
-    pub fn withheld(&self) -> Option<Withheld> {
-        *lock(&self.withheld)
+    pub fn first_denial(&self) -> Option<WriteDenied> {
+        *lock(&self.first_denial)
     }
 
     /// Begins an exchange, which ends when the returned value is dropped. Nothing is written outside of one.
-    pub fn begin_exchange(self: &Arc<Self>, rules: Box<dyn WriteRules>) -> ExchangeGuard {
-        *lock(&self.exchange) = Some(Exchange { rules, begun: false });
+    pub fn begin_exchange(self: &Arc<Self>, policy: Box<dyn WritePolicy>) -> ExchangeGuard {
+        *lock(&self.exchange) = Some(Exchange { policy, started: false });
         ExchangeGuard(self.clone())
     }
 
     /// Decides on a write that is about to be made to this socket.
-    fn check(&self, socket: &Stream) -> io::Result<()> {
-        self.decide(socket).map_err(|reason| {
-            lock(&self.withheld).get_or_insert(reason);
+    fn authorize_write(&self, socket: &Stream) -> io::Result<()> {
+        self.check_write(socket).map_err(|reason| {
+            lock(&self.first_denial).get_or_insert(reason);
             io::Error::new(ErrorKind::ConnectionAborted, "the write was withheld")
         })
     }
 
-    fn decide(&self, socket: &Stream) -> Result<(), Withheld> {
+    fn check_write(&self, socket: &Stream) -> Result<(), WriteDenied> {
         let mut exchange = lock(&self.exchange);
-        let Some(Exchange { rules, begun }) = exchange.as_mut() else { return Err(Withheld::NoExchange) };
-        if *begun {
-            return rules.proceed();
+        let Some(Exchange { policy, started }) = exchange.as_mut() else {
+            return Err(WriteDenied::NoExchange);
+        };
+        if *started {
+            return policy.check_next_write();
         }
-        check_quiet(socket)?;
-        rules.begin()?;
-        *begun = true;
+        check_no_pending_input(socket)?;
+        policy.check_first_write()?;
+        *started = true;
         Ok(())
     }
 }
@@ -111,12 +113,12 @@
 /// Checks that neither bytes nor an end wait in the socket.
 ///
 /// It reads past the runtime. A byte that it takes is missed by nobody: a connection with such a byte is closed.
-fn check_quiet(socket: &Stream) -> Result<(), Withheld> {
+fn check_no_pending_input(socket: &Stream) -> Result<(), WriteDenied> {
     match socket.receive_now(&mut [0]) {
-        Ok(0) => Err(Withheld::Closed),
-        Ok(_) => Err(Withheld::UnexpectedBytes),
+        Ok(0) => Err(WriteDenied::ConnectionClosed),
+        Ok(_) => Err(WriteDenied::UnexpectedBytes),
         Err(error) if error.kind() == ErrorKind::WouldBlock => Ok(()),
-        Err(_) => Err(Withheld::Closed),
+        Err(_) => Err(WriteDenied::ConnectionClosed),
     }
 }
 
@@ -138,7 +140,7 @@
         &mut self,
         write: impl FnOnce(Pin<&mut Stream>) -> Poll<io::Result<usize>>,
     ) -> Poll<io::Result<usize>> {
-        if let Err(error) = self.state.check(&self.socket) {
+        if let Err(error) = self.state.authorize_write(&self.socket) {
             return Poll::Ready(Err(error));
         }
         let result = write(Pin::new(&mut self.socket));
--- a/crates/node/src/transports/http1/tests/answers.rs
+++ b/crates/node/src/transports/http1/tests/answers.rs
@@ -7,40 +7,42 @@
 use super::*;
 use crate::engine::MAX_BODY_BYTES;
 use crate::transports::http1::connection::Connection;
-use crate::transports::http1::exchange::{exchange, size_on_the_wire, told_ms, upstream_request};
-use crate::transports::http1::probe::Always;
+use crate::transports::http1::exchange::{
+    advertised_timeout_ms, encoded_request_size, exchange, upstream_request,
+};
+use crate::transports::http1::probe::AlwaysAllow;
 
 /// How an upstream ends a connection after what it sent.
 #[derive(Debug, Clone, Copy)]
-enum Ending {
+enum ConnectionEnd {
     KeptOpen,
     Closed,
     Reset,
 }
 
-impl Ending {
+impl ConnectionEnd {
     /// Ends a connection so; what stays open of it.
     fn apply_to(self, stream: TcpStream) -> Option<TcpStream> {
         match self {
-            Ending::KeptOpen => return Some(stream),
-            Ending::Closed => drop(stream),
-            Ending::Reset => reset(stream),
+            ConnectionEnd::KeptOpen => return Some(stream),
+            ConnectionEnd::Closed => drop(stream),
+            ConnectionEnd::Reset => reset(stream),
         }
         None
     }
 }
 
 /// The outcome of an attempt whose whole request was read, with this for an answer.
-async fn outcome_of(bytes: &[u8], ending: Ending) -> (Outcome, Option<Bytes>) {
-    let (transport, mut seen, listener) = one_upstream(settings()).await;
-    let (mut attempt, _wanted) = attempt();
+async fn outcome_of(bytes: &[u8], ending: ConnectionEnd) -> (Outcome, Option<Bytes>) {
+    let (transport, mut events, listener) = transport_with_upstream(settings()).await;
+    let (mut attempt, _handles) = attempt();
     attempt.info.until = Instant::now() + Duration::from_millis(300);
     transport.attempt(attempt);
     let mut stream = accept(&listener).await;
     read_head(&mut stream).await;
     write(&mut stream, bytes).await;
     let kept = ending.apply_to(stream);
-    let (outcome, answer) = seen.next_answer().await;
+    let (outcome, answer) = events.next_answer().await;
     drop(kept);
     assert!(!is_connected_to(listener), "a request that may have run is not sent again");
     (outcome, answer.map(|answer| answer.body))
@@ -48,13 +50,16 @@
 
 #[tokio::test]
 async fn whole_answers_are_taken() {
-    let answers: [(&[u8], Ending); 4] = [
-        (OK_FIRST, Ending::KeptOpen),
-        (b"HTTP/1.1 200 OK\r\n\r\nfirst", Ending::Closed),
-        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n0\r\n\r\n", Ending::Reset),
+    let answers: [(&[u8], ConnectionEnd); 4] = [
+        (OK_FIRST, ConnectionEnd::KeptOpen),
+        (b"HTTP/1.1 200 OK\r\n\r\nfirst", ConnectionEnd::Closed),
+        (
+            b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n0\r\n\r\n",
+            ConnectionEnd::Reset,
+        ),
         (
             b"HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst",
-            Ending::KeptOpen,
+            ConnectionEnd::KeptOpen,
         ),
     ];
     for (bytes, ending) in answers {
@@ -67,17 +72,17 @@
 
 #[tokio::test]
 async fn cut_answers_are_resets() {
-    let answers: [(&[u8], Ending); 9] = [
-        (b"", Ending::Closed),
-        (b"", Ending::Reset),
-        (b"HTTP/1.1 2", Ending::Closed),
-        (b"HTTP/1.1 100 Continue\r\n\r\n", Ending::Closed),
+    let answers: [(&[u8], ConnectionEnd); 9] = [
+        (b"", ConnectionEnd::Closed),
+        (b"", ConnectionEnd::Reset),
+        (b"HTTP/1.1 2", ConnectionEnd::Closed),
+        (b"HTTP/1.1 100 Continue\r\n\r\n", ConnectionEnd::Closed),
         // With no length, a close is the end and a reset is none.
-        (b"HTTP/1.1 200 OK\r\n\r\nfirst", Ending::Reset),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nfirst", Ending::Closed),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nfirst", Ending::Reset),
-        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n", Ending::Closed),
-        (b"not http at all\r\n\r\n", Ending::KeptOpen),
+        (b"HTTP/1.1 200 OK\r\n\r\nfirst", ConnectionEnd::Reset),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nfirst", ConnectionEnd::Closed),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nfirst", ConnectionEnd::Reset),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n", ConnectionEnd::Closed),
+        (b"not http at all\r\n\r\n", ConnectionEnd::KeptOpen),
     ];
     for (bytes, ending) in answers {
         let text = String::from_utf8_lossy(bytes);
@@ -96,7 +101,7 @@
     ];
     for bytes in answers {
         let text = String::from_utf8_lossy(bytes);
-        assert_eq!(outcome_of(bytes, Ending::KeptOpen).await, (Outcome::TimedOut, None), "{text}");
+        assert_eq!(outcome_of(bytes, ConnectionEnd::KeptOpen).await, (Outcome::TimedOut, None), "{text}");
     }
 }
 
@@ -104,19 +109,19 @@
 async fn an_answer_that_is_too_long_is_an_error() {
     let mut bytes = b"HTTP/1.1 200 OK\r\n\r\n".to_vec();
     bytes.resize(bytes.len() + MAX_BODY_BYTES + 1, b'x');
-    assert_eq!(outcome_of(&bytes, Ending::KeptOpen).await, (Outcome::Error, None));
+    assert_eq!(outcome_of(&bytes, ConnectionEnd::KeptOpen).await, (Outcome::Error, None));
 }
 
 /// The outcome of an attempt whose request cannot be written whole, when the upstream sends this.
-async fn early_outcome_of(bytes: &[u8], ending: Ending) -> Outcome {
-    let (transport, mut seen, listener) = one_upstream(settings()).await;
-    let (attempt, _wanted) = huge_attempt();
+async fn early_outcome_of(bytes: &[u8], ending: ConnectionEnd) -> Outcome {
+    let (transport, mut events, listener) = transport_with_upstream(settings()).await;
+    let (attempt, _handles) = huge_attempt();
     transport.attempt(attempt);
     let mut stream = accept(&listener).await;
     read_head(&mut stream).await;
     write(&mut stream, bytes).await;
     let kept = ending.apply_to(stream);
-    let outcome = seen.next_answer().await.0;
+    let outcome = events.next_answer().await.0;
     if let Some(mut stream) = kept {
         assert!(bytes_until_closed(&mut stream).await < HUGE_BODY, "the rest is never written");
     }
@@ -128,22 +133,25 @@
 #[tokio::test]
 async fn an_answer_before_the_last_byte_of_the_request_serves_nobody() {
     let full = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
-    assert_eq!(early_outcome_of(OK_FIRST, Ending::KeptOpen).await, Outcome::Unreachable);
-    assert_eq!(early_outcome_of(full, Ending::KeptOpen).await, Outcome::Full);
-    assert_eq!(early_outcome_of(b"", Ending::Reset).await, Outcome::Unreachable);
-    assert_eq!(early_outcome_of(b"HTTP/1.1 200 OK\r\n\r\nfirst", Ending::Reset).await, Outcome::Unreachable);
+    assert_eq!(early_outcome_of(OK_FIRST, ConnectionEnd::KeptOpen).await, Outcome::Unreachable);
+    assert_eq!(early_outcome_of(full, ConnectionEnd::KeptOpen).await, Outcome::Full);
+    assert_eq!(early_outcome_of(b"", ConnectionEnd::Reset).await, Outcome::Unreachable);
+    assert_eq!(
+        early_outcome_of(b"HTTP/1.1 200 OK\r\n\r\nfirst", ConnectionEnd::Reset).await,
+        Outcome::Unreachable
+    );
 }
 
 /// Given up while its body is being written: the rest of it is never written.
 #[tokio::test]
 async fn an_attempt_that_is_given_up_is_closed_before_its_end_is_told() {
-    let (transport, mut seen, listener) = one_upstream(settings()).await;
-    let (attempt, mut wanted) = huge_attempt();
+    let (transport, mut events, listener) = transport_with_upstream(settings()).await;
+    let (attempt, mut handles) = huge_attempt();
     transport.attempt(attempt);
     let mut stream = accept(&listener).await;
     read_head(&mut stream).await;
-    wanted.give_up = None;
-    assert_eq!(seen.next_answer().await.0, Outcome::Cancelled);
+    handles.cancel = None;
+    assert_eq!(events.next_answer().await.0, Outcome::Cancelled);
     assert!(bytes_until_closed(&mut stream).await < HUGE_BODY);
 }
 
@@ -171,8 +179,8 @@
         let forward = ForwardedRequest { method, target, headers, body: Bytes::from_static(body.as_bytes()) };
         let request = upstream_request(&forward, dial, until);
         let before = connection.stream.written();
-        let size = size_on_the_wire(&request, body.len());
-        let exchanged = exchange(&mut connection, request, Box::new(Always), before + size);
+        let size = encoded_request_size(&request, body.len());
+        let exchanged = exchange(&mut connection, request, Box::new(AlwaysAllow), before + size);
         let served = async {
             read_head(&mut stream).await;
             let mut read = vec![0; body.len()];
@@ -182,15 +190,15 @@
         let (answer, ()) = tokio::join!(exchanged, served);
         assert!(answer.is_ok());
         assert_eq!(connection.stream.written() - before, size, "{} {}", forward.method, forward.target);
-        connection = connection.settle().await.expect("it is kept");
+        connection = connection.wait_until_ready().await.expect("it is kept");
     }
 }
 
 /// What is told must be less than what is left to the client by what a hold-up before the write leaves of the slack.
 #[test]
 fn an_upstream_is_told_less_than_is_left() {
-    let told = [(0, 1), (1, 1), (8, 7), (80, 70), (96, 84), (480, 468), (6_000, 5_988)];
-    for (left, expected) in told {
-        assert_eq!(told_ms(Duration::from_millis(left)), expected, "{left} ms left");
+    let expected_timeouts = [(0, 1), (1, 1), (8, 7), (80, 70), (96, 84), (480, 468), (6_000, 5_988)];
+    for (left, expected) in expected_timeouts {
+        assert_eq!(advertised_timeout_ms(Duration::from_millis(left)), expected, "{left} ms left");
     }
 }
--- a/crates/node/src/transports/http1/tests/before_the_first_byte.rs
+++ b/crates/node/src/transports/http1/tests/before_the_first_byte.rs
@@ -12,38 +12,38 @@
 
 #[tokio::test]
 async fn an_attempt_for_nobody_ends_once_and_was_not_sent() {
-    let (transport, mut seen) = transport_with(settings());
-    let (attempt, _wanted) = attempt();
+    let (transport, mut events) = transport_with(settings());
+    let (attempt, _handles) = attempt();
     transport.attempt(attempt);
-    assert_eq!(seen.next_end().await, (RequestId(2), Outcome::NotSent));
+    assert_eq!(events.next_end().await, (RequestId(2), Outcome::NotSent));
     drop(transport);
-    assert!(seen.is_closed().await, "there is one end");
+    assert!(events.is_closed().await, "there is one end");
 }
 
 /// What was decided while a connection came up is heeded once it is up: nothing is written.
 #[tokio::test]
 async fn nothing_is_written_for_what_ended_while_it_connected() {
     for why in ["answered", "given up", "client left", "drained", "restarted", "gone"] {
-        let (transport, mut seen, listener) = one_upstream(settings()).await;
+        let (transport, mut events, listener) = transport_with_upstream(settings()).await;
         let dial = listener.local_addr().expect("an address");
-        let (attempt, mut wanted) = attempt();
+        let (attempt, mut handles) = attempt();
         // Its task runs when this one waits: by then all of this has happened.
         transport.attempt(attempt);
         match why {
-            "answered" => wanted.answer_owed = None,
-            "given up" => wanted.give_up = None,
-            "client left" => wanted.client = None,
+            "answered" => handles.answer_owed = None,
+            "given up" => handles.cancel = None,
+            "client left" => handles.client = None,
             "drained" => {
-                transport.update_upstream(UPSTREAM, UpstreamInfo { serving: false, ..peer(dial, 0) })
+                transport.update_upstream(UPSTREAM, UpstreamInfo { serving: false, ..upstream_info(dial, 0) })
             }
-            "restarted" => transport.update_upstream(UPSTREAM, peer(dial, 1)),
+            "restarted" => transport.update_upstream(UPSTREAM, upstream_info(dial, 1)),
             _ => transport.remove_upstream(UPSTREAM),
         }
         let expected = match why {
             "answered" | "given up" | "client left" => Outcome::NotSent,
             _ => Outcome::Unreachable,
         };
-        assert_eq!(seen.next_end().await, (RequestId(2), expected), "{why}");
+        assert_eq!(events.next_end().await, (RequestId(2), expected), "{why}");
         // A connection that came up is closed without a byte.
         transport.remove_upstream(UPSTREAM);
         if why != "given up" {
@@ -54,9 +54,9 @@
 }
 
 /// Lets requests go to one zone.
-struct Only(&'static str);
+struct SingleZonePolicy(&'static str);
 
-impl ZonePolicy for Only {
+impl ZonePolicy for SingleZonePolicy {
     fn allows(&self, _: ClassId, _: TenantId, zone: &str) -> bool {
         zone == self.0
     }
@@ -65,30 +65,36 @@
 /// A list that moves a name to another zone while an attempt connects: not a byte leaves.
 #[tokio::test]
 async fn nothing_is_written_outside_the_regions_of_a_request() {
-    for (gate, moves) in [("z2", false), ("z1", true)] {
-        let (transport, mut seen, listener) = one_upstream(settings()).await;
+    for (allowed_zone, moves) in [("z2", false), ("z1", true)] {
+        let (transport, mut events, listener) = transport_with_upstream(settings()).await;
         let dial = listener.local_addr().expect("an address");
-        let (mut attempt, _wanted) = attempt();
-        attempt.zone_check =
-            Some(ZoneCheck { policy: Arc::new(Only(gate)), class: ClassId(0), tenant: TenantId(0) });
+        let (mut attempt, _handles) = attempt();
+        attempt.zone_check = Some(ZoneCheck {
+            policy: Arc::new(SingleZonePolicy(allowed_zone)),
+            class: ClassId(0),
+            tenant: TenantId(0),
+        });
         transport.attempt(attempt);
         if moves {
-            transport.update_upstream(UPSTREAM, UpstreamInfo { zone: Some("z2".into()), ..peer(dial, 0) });
+            transport.update_upstream(
+                UPSTREAM,
+                UpstreamInfo { zone: Some("z2".into()), ..upstream_info(dial, 0) },
+            );
         }
-        assert_eq!(seen.next_end().await, (RequestId(2), Outcome::NotSent), "{gate}");
+        assert_eq!(events.next_end().await, (RequestId(2), Outcome::NotSent), "{allowed_zone}");
         transport.remove_upstream(UPSTREAM);
         let mut stream = accept(&listener).await;
-        assert_eq!(stream.read(&mut [0]).await.ok(), Some(0), "{gate}");
+        assert_eq!(stream.read(&mut [0]).await.ok(), Some(0), "{allowed_zone}");
     }
 }
 
 #[tokio::test]
 async fn out_of_connections_an_attempt_was_not_sent() {
-    let (transport, mut seen) = transport_with(Settings { connections: 0, ..settings() });
-    transport.update_upstream(UPSTREAM, peer(SocketAddr::from(([127, 0, 0, 1], 9)), 0));
-    let (attempt, _wanted) = attempt();
+    let (transport, mut events) = transport_with(Settings { max_connections: 0, ..settings() });
+    transport.update_upstream(UPSTREAM, upstream_info(SocketAddr::from(([127, 0, 0, 1], 9)), 0));
+    let (attempt, _handles) = attempt();
     transport.attempt(attempt);
-    assert_eq!(seen.next_end().await, (RequestId(2), Outcome::NotSent));
+    assert_eq!(events.next_end().await, (RequestId(2), Outcome::NotSent));
     assert_eq!(transport.take_counts(), ConnectionCounts { no_descriptor: 1, ..ConnectionCounts::default() });
     assert_eq!(transport.take_counts(), ConnectionCounts::default(), "they are told once");
 }
@@ -96,11 +102,11 @@
 /// A client that the engine has not heard of yet: no connection is opened for it.
 #[tokio::test]
 async fn nothing_is_opened_for_a_client_that_has_gone() {
-    let (transport, mut seen, listener) = one_upstream(settings()).await;
-    let (attempt, mut wanted) = attempt();
-    wanted.client = None;
+    let (transport, mut events, listener) = transport_with_upstream(settings()).await;
+    let (attempt, mut handles) = attempt();
+    handles.client = None;
     transport.attempt(attempt);
-    assert_eq!(seen.next_end().await, (RequestId(2), Outcome::NotSent));
+    assert_eq!(events.next_end().await, (RequestId(2), Outcome::NotSent));
     assert!(!is_connected_to(listener));
 }
 
@@ -108,76 +114,80 @@
 #[tokio::test]
 async fn a_stale_connection_is_not_replaced_for_nobody() {
     for why in ["client left", "drained"] {
-        let (transport, mut seen, listener) = one_upstream(settings()).await;
+        let (transport, mut events, listener) = transport_with_upstream(settings()).await;
         let dial = listener.local_addr().expect("an address");
-        let stream = pooled_connection(&transport, &mut seen, &listener).await;
+        let stream = pooled_connection(&transport, &mut events, &listener).await;
         drop(stream);
-        let (attempt, mut wanted) = attempt();
+        let (attempt, mut handles) = attempt();
         transport.attempt(attempt);
         let expected = match why {
             "client left" => {
-                wanted.client = None;
+                handles.client = None;
                 Outcome::NotSent
             }
             _ => {
-                transport.update_upstream(UPSTREAM, UpstreamInfo { serving: false, ..peer(dial, 0) });
+                transport
+                    .update_upstream(UPSTREAM, UpstreamInfo { serving: false, ..upstream_info(dial, 0) });
                 Outcome::Unreachable
             }
         };
-        assert_eq!(seen.next_end().await, (RequestId(2), expected), "{why}");
+        assert_eq!(events.next_end().await, (RequestId(2), expected), "{why}");
         assert!(!is_connected_to(listener), "{why}");
     }
 }
 
 /// A client whose connection may be closed while its task still waits: the process was held up, and no event of the
 /// close has been taken in.
-struct Socket {
+struct FakeClientConnection {
     is_closed: AtomicBool,
 }
 
-impl ClientConnection for Socket {
+impl ClientConnection for FakeClientConnection {
     fn has_disconnected(&self) -> bool {
         self.is_closed.load(Ordering::Relaxed)
     }
 }
 
 /// An attempt for a client whose connection is closed, or may yet be.
-fn for_client((mut attempt, wanted): (Attempt, Wanted), is_closed: bool) -> (Attempt, Wanted, Arc<Socket>) {
-    let client = Arc::new(Socket { is_closed: is_closed.into() });
+fn for_client(
+    (mut attempt, handles): (Attempt, AttemptHandles),
+    is_closed: bool,
+) -> (Attempt, AttemptHandles, Arc<FakeClientConnection>) {
+    let client = Arc::new(FakeClientConnection { is_closed: is_closed.into() });
     let task: Arc<dyn ClientConnection> = client.clone();
-    let owed = wanted.answer_owed.as_ref().expect("an answer is owed");
+    let owed = handles.answer_owed.as_ref().expect("an answer is owed");
     attempt.interest = Interest::until_answered(owed).while_client_waits(Arc::downgrade(&task));
-    (attempt, wanted, client)
+    (attempt, handles, client)
 }
 
 #[tokio::test]
 async fn nothing_is_written_over_a_new_connection_for_a_client_that_closed_during_a_hold_up() {
-    let (transport, mut seen, listener) = one_upstream(settings()).await;
-    let (attempt, _wanted, _client) = for_client(attempt(), true);
+    let (transport, mut events, listener) = transport_with_upstream(settings()).await;
+    let (attempt, _handles, _client) = for_client(attempt(), true);
     transport.attempt(attempt);
     let mut stream = accept(&listener).await;
-    assert_eq!(seen.next_end().await, (RequestId(2), Outcome::NotSent));
+    assert_eq!(events.next_end().await, (RequestId(2), Outcome::NotSent));
     assert_eq!(bytes_until_closed(&mut stream).await, 0);
 }
 
 #[tokio::test]
 async fn nothing_is_written_over_an_idle_connection_for_a_client_that_closed_during_a_hold_up() {
-    let (transport, mut seen, listener) = one_upstream(settings()).await;
-    let mut stream = pooled_connection(&transport, &mut seen, &listener).await;
-    let (attempt, _wanted, _client) = for_client(attempt(), true);
+    let (transport, mut events, listener) = transport_with_upstream(settings()).await;
+    let mut stream = pooled_connection(&transport, &mut events, &listener).await;
+    let (attempt, _handles, _client) = for_client(attempt(), true);
     transport.attempt(attempt);
-    assert_eq!(seen.next_answer().await.0, Outcome::NotSent);
+    assert_eq!(events.next_answer().await.0, Outcome::NotSent);
     assert_eq!(bytes_until_closed(&mut stream).await, 0);
 }
 
 #[tokio::test]
 async fn the_rest_of_a_request_is_not_written_for_a_client_that_closed_during_a_hold_up() {
-    let (transport, mut seen, listener) = one_upstream(settings()).await;
-    let (attempt, _wanted, client) = for_client(huge_attempt(), false);
+    let (transport, mut events, listener) = transport_with_upstream(settings()).await;
+    let (attempt, _handles, client) = for_client(huge_attempt(), false);
     transport.attempt(attempt);
     let mut stream = accept(&listener).await;
     read_head(&mut stream).await;
     client.is_closed.store(true, Ordering::Relaxed);
     assert!(bytes_until_closed(&mut stream).await < HUGE_BODY);
-    assert_eq!(seen.next_end().await, (RequestId(2), Outcome::Cancelled));
+    assert_eq!(events.next_end().await, (RequestId(2), Outcome::Cancelled));
 }
--- a/crates/node/src/transports/http1/tests/connections.rs
+++ b/crates/node/src/transports/http1/tests/connections.rs
@@ -10,14 +10,14 @@
 use crate::transports::http1::connection::Connection;
 
 /// An upstream to which no connection comes up, since its backlog is full.
-pub(super) struct HangingUpstream {
+pub(super) struct UnresponsiveUpstream {
     pub(super) address: SocketAddr,
     _listener: Socket,
     _backlog: Vec<Socket>,
 }
 
-impl HangingUpstream {
-    pub(super) fn new() -> HangingUpstream {
+impl UnresponsiveUpstream {
+    pub(super) fn new() -> UnresponsiveUpstream {
         let listener = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         listener.bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into()).expect("a port");
         listener.listen(0).expect("a listener");
@@ -28,51 +28,51 @@
             let _ = socket.connect(&address.into());
             socket
         });
-        HangingUpstream { address, _backlog: backlog.collect(), _listener: listener }
+        UnresponsiveUpstream { address, _backlog: backlog.collect(), _listener: listener }
     }
 }
 
 #[tokio::test]
 async fn a_connection_that_never_comes_up_ends_its_attempt_and_returns_its_permit() {
-    let (transport, mut seen) =
+    let (transport, mut events) =
         transport_with(Settings { connect_timeout: Duration::from_millis(100), ..settings() });
-    let hanging = HangingUpstream::new();
-    transport.update_upstream(UPSTREAM, peer(hanging.address, 0));
-    let (attempt, _wanted) = attempt();
+    let unresponsive = UnresponsiveUpstream::new();
+    transport.update_upstream(UPSTREAM, upstream_info(unresponsive.address, 0));
+    let (attempt, _handles) = attempt();
     transport.attempt(attempt);
-    assert_eq!(seen.next_answer().await.0, Outcome::Unreachable);
+    assert_eq!(events.next_answer().await.0, Outcome::Unreachable);
     assert_eq!(transport.shared.permits.available_permits(), 2);
 }
 
 #[tokio::test]
 async fn an_attempt_given_up_while_it_connects_ends_and_returns_its_permit() {
-    let (transport, mut seen) = transport_with(settings());
-    let hanging = HangingUpstream::new();
-    transport.update_upstream(UPSTREAM, peer(hanging.address, 0));
-    let (attempt, mut wanted) = attempt();
+    let (transport, mut events) = transport_with(settings());
+    let unresponsive = UnresponsiveUpstream::new();
+    transport.update_upstream(UPSTREAM, upstream_info(unresponsive.address, 0));
+    let (attempt, mut handles) = attempt();
     transport.attempt(attempt);
     tokio::task::yield_now().await;
     assert_eq!(transport.shared.permits.available_permits(), 1);
-    wanted.give_up = None;
-    assert_eq!(seen.next_answer().await.0, Outcome::NotSent);
+    handles.cancel = None;
+    assert_eq!(events.next_answer().await.0, Outcome::NotSent);
     assert_eq!(transport.shared.permits.available_permits(), 2);
 }
 
 /// A connection that is up when its attempt is over serves the next one.
 #[tokio::test]
 async fn a_late_connection_goes_to_the_pool() {
-    let (transport, mut seen, listener) = one_upstream(settings()).await;
-    let (attempt, mut wanted) = attempt();
+    let (transport, mut events, listener) = transport_with_upstream(settings()).await;
+    let (attempt, mut handles) = attempt();
     transport.attempt(attempt);
-    wanted.answer_owed = None;
-    assert_eq!(seen.next_answer().await.0, Outcome::NotSent);
+    handles.answer_owed = None;
+    assert_eq!(events.next_answer().await.0, Outcome::NotSent);
     until_idle(&transport, 1).await;
-    let (attempt, _wanted) = super::attempt();
+    let (attempt, _handles) = super::attempt();
     transport.attempt(attempt);
     let mut stream = accept(&listener).await;
     read_head(&mut stream).await;
     write(&mut stream, OK_FIRST).await;
-    assert_eq!(seen.next_answer().await.0, Outcome::Ok);
+    assert_eq!(events.next_answer().await.0, Outcome::Ok);
     assert_eq!(transport.take_counts().reused, 1);
 }
 
@@ -97,18 +97,19 @@
 /// With no permit left an idle connection to another upstream is closed, and its permit serves.
 #[tokio::test]
 async fn an_idle_connection_gives_way_to_a_new_one() {
-    let (transport, mut seen, listener) = one_upstream(Settings { connections: 1, ..settings() }).await;
-    let mut idle = pooled_connection(&transport, &mut seen, &listener).await;
+    let (transport, mut events, listener) =
+        transport_with_upstream(Settings { max_connections: 1, ..settings() }).await;
+    let mut idle = pooled_connection(&transport, &mut events, &listener).await;
     let other = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let other_upstream = UpstreamId(8);
-    transport.update_upstream(other_upstream, peer(other.local_addr().expect("an address"), 0));
-    let (mut attempt, _wanted) = attempt();
+    transport.update_upstream(other_upstream, upstream_info(other.local_addr().expect("an address"), 0));
+    let (mut attempt, _handles) = attempt();
     attempt.info.upstream = other_upstream;
     transport.attempt(attempt);
     let mut stream = accept(&other).await;
     assert_eq!(bytes_until_closed(&mut idle).await, 0);
     read_head(&mut stream).await;
     write(&mut stream, OK_SECOND).await;
-    assert_eq!(seen.next_answer().await.0, Outcome::Ok);
+    assert_eq!(events.next_answer().await.0, Outcome::Ok);
     assert_eq!(transport.take_counts().no_descriptor, 0);
 }
--- a/crates/node/src/transports/http1/tests/local_failures.rs
+++ b/crates/node/src/transports/http1/tests/local_failures.rs
@@ -16,66 +16,66 @@
 
 #[tokio::test]
 async fn a_failure_of_this_machine_is_not_held_against_the_upstream() {
-    let (transport, mut seen) = transport_with(settings());
-    transport.update_upstream(UPSTREAM, peer(UNROUTABLE, 0));
-    let (attempt, _wanted) = attempt();
+    let (transport, mut events) = transport_with(settings());
+    transport.update_upstream(UPSTREAM, upstream_info(UNROUTABLE, 0));
+    let (attempt, _handles) = attempt();
     transport.attempt(attempt);
-    assert_eq!(seen.next_answer().await.0, Outcome::LocalFailure);
+    assert_eq!(events.next_answer().await.0, Outcome::LocalFailure);
     assert_eq!(transport.shared.permits.available_permits(), 2);
     assert!(transport.take_counts().opened > 1, "it was tried more than once");
 }
 
 #[tokio::test]
 async fn a_refused_connection_is_held_against_the_upstream_at_once() {
-    let (transport, mut seen, listener) = one_upstream(settings()).await;
+    let (transport, mut events, listener) = transport_with_upstream(settings()).await;
     drop(listener);
-    let (attempt, _wanted) = attempt();
+    let (attempt, _handles) = attempt();
     transport.attempt(attempt);
-    assert_eq!(seen.next_answer().await.0, Outcome::Unreachable);
+    assert_eq!(events.next_answer().await.0, Outcome::Unreachable);
     assert_eq!(transport.take_counts().opened, 1);
 }
 
 #[tokio::test]
 async fn a_request_is_sent_once_this_machine_can_connect_again() {
-    let (transport, mut seen) = transport_with(settings());
-    transport.update_upstream(UPSTREAM, peer(UNROUTABLE, 0));
+    let (transport, mut events) = transport_with(settings());
+    transport.update_upstream(UPSTREAM, upstream_info(UNROUTABLE, 0));
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let (attempt, _wanted) = attempt();
+    let (attempt, _handles) = attempt();
     transport.attempt(attempt);
     let_tasks_run().await;
-    transport.update_upstream(UPSTREAM, peer(listener.local_addr().expect("an address"), 0));
+    transport.update_upstream(UPSTREAM, upstream_info(listener.local_addr().expect("an address"), 0));
     let mut stream = accept(&listener).await;
     read_head(&mut stream).await;
     write(&mut stream, OK_FIRST).await;
-    assert_eq!(seen.next_answer().await.0, Outcome::Ok);
+    assert_eq!(events.next_answer().await.0, Outcome::Ok);
     assert!(!is_connected_to(listener), "it is sent once");
 }
 
 #[tokio::test]
 async fn an_attempt_given_up_between_two_tries_is_not_sent() {
-    let (transport, mut seen) = transport_with(settings());
-    transport.update_upstream(UPSTREAM, peer(UNROUTABLE, 0));
+    let (transport, mut events) = transport_with(settings());
+    transport.update_upstream(UPSTREAM, upstream_info(UNROUTABLE, 0));
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let (attempt, mut wanted) = attempt();
+    let (attempt, mut handles) = attempt();
     transport.attempt(attempt);
     let_tasks_run().await;
-    wanted.give_up = None;
-    transport.update_upstream(UPSTREAM, peer(listener.local_addr().expect("an address"), 0));
-    assert_eq!(seen.next_answer().await.0, Outcome::NotSent);
+    handles.cancel = None;
+    transport.update_upstream(UPSTREAM, upstream_info(listener.local_addr().expect("an address"), 0));
+    assert_eq!(events.next_answer().await.0, Outcome::NotSent);
     assert!(!is_connected_to(listener));
     assert_eq!(transport.shared.permits.available_permits(), 2);
 }
 
 #[tokio::test]
 async fn a_probe_is_made_once_this_machine_can_connect_again() {
-    let (transport, mut seen) = transport_with(settings());
-    transport.update_upstream(UPSTREAM, peer(UNROUTABLE, 0));
+    let (transport, mut events) = transport_with(settings());
+    transport.update_upstream(UPSTREAM, upstream_info(UNROUTABLE, 0));
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     transport.probe(UPSTREAM, Instant::now() + Duration::from_secs(10));
     let_tasks_run().await;
-    transport.update_upstream(UPSTREAM, peer(listener.local_addr().expect("an address"), 0));
+    transport.update_upstream(UPSTREAM, upstream_info(listener.local_addr().expect("an address"), 0));
     let mut stream = accept(&listener).await;
     read_head(&mut stream).await;
     write(&mut stream, OK_SECOND).await;
-    assert_eq!(seen.next_probe_answer().await.expect("an answer").body, "second");
+    assert_eq!(events.next_probe_answer().await.expect("an answer").body, "second");
 }
--- a/crates/node/src/transports/http1/tests/mod.rs
+++ b/crates/node/src/transports/http1/tests/mod.rs
@@ -3,7 +3,7 @@
 mod answers;
 mod before_the_first_byte;
 mod connections;
-mod key_window;
+mod idempotency_window;
 mod local_failures;
 mod pool;
 
@@ -37,9 +37,9 @@
 
 fn settings() -> Settings {
     Settings {
-        connections: 2,
+        max_connections: 2,
         connect_timeout: Duration::from_secs(10),
-        idle_limit: Duration::from_secs(10),
+        idle_timeout: Duration::from_secs(10),
         probe_path: "/alive",
     }
 }
@@ -51,33 +51,33 @@
 
 /// A transport, and what it tells.
 fn transport_with(settings: Settings) -> (Http1, TestEvents) {
-    let ways = EngineChannels::new(RequestNames { classes: Vec::new(), tenants: Vec::new() });
-    (Http1::new(settings, kernel(), ways.transport_events), ways.inbox.into_test_events())
+    let channels = EngineChannels::new(RequestNames { classes: Vec::new(), tenants: Vec::new() });
+    (Http1::new(settings, kernel(), channels.transport_events), channels.inbox.into_test_events())
 }
 
-fn peer(dial: SocketAddr, incarnation: u64) -> UpstreamInfo {
+fn upstream_info(dial: SocketAddr, incarnation: u64) -> UpstreamInfo {
     UpstreamInfo { host: "a".into(), dial, incarnation, zone: Some("z1".into()), serving: true }
 }
 
 /// A transport that knows one upstream, whose listener it is.
-async fn one_upstream(settings: Settings) -> (Http1, TestEvents, TcpListener) {
+async fn transport_with_upstream(settings: Settings) -> (Http1, TestEvents, TcpListener) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let (transport, seen) = transport_with(settings);
-    transport.update_upstream(UPSTREAM, peer(listener.local_addr().expect("an address"), 0));
-    (transport, seen, listener)
+    let (transport, events) = transport_with(settings);
+    transport.update_upstream(UPSTREAM, upstream_info(listener.local_addr().expect("an address"), 0));
+    (transport, events, listener)
 }
 
 /// What keeps an attempt wanted.
-struct Wanted {
-    give_up: Option<oneshot::Sender<()>>,
+struct AttemptHandles {
+    cancel: Option<oneshot::Sender<()>>,
     answer_owed: Option<Arc<()>>,
     client: Option<Arc<()>>,
 }
 
-fn attempt_with(method: Method, body: Bytes) -> (Attempt, Wanted) {
+fn attempt_with(method: Method, body: Bytes) -> (Attempt, AttemptHandles) {
     let forward =
         ForwardedRequest { method, target: Uri::from_static("/fetch"), headers: HeaderMap::new(), body };
-    let (give_up, cancelled) = oneshot::channel();
+    let (cancel, cancelled) = oneshot::channel();
     let (answer_owed, client) = (Arc::new(()), Arc::new(()));
     let info = AttemptInfo {
         request: RequestId(2),
@@ -96,17 +96,18 @@
         zone_check: None,
         reuse_limit: ReuseLimit::default(),
     };
-    let wanted = Wanted { give_up: Some(give_up), answer_owed: Some(answer_owed), client: Some(client) };
-    (attempt, wanted)
+    let handles =
+        AttemptHandles { cancel: Some(cancel), answer_owed: Some(answer_owed), client: Some(client) };
+    (attempt, handles)
 }
 
 /// An attempt with no body.
-fn attempt() -> (Attempt, Wanted) {
+fn attempt() -> (Attempt, AttemptHandles) {
     attempt_with(Method::GET, Bytes::new())
 }
 
 /// An attempt whose body does not fit into a connection that is not read from.
-fn huge_attempt() -> (Attempt, Wanted) {
+fn huge_attempt() -> (Attempt, AttemptHandles) {
     attempt_with(Method::POST, Bytes::from(vec![b'x'; HUGE_BODY]))
 }
 
@@ -164,13 +165,13 @@
 }
 
 /// Serves one request, after which the transport keeps the connection.
-async fn pooled_connection(transport: &Http1, seen: &mut TestEvents, listener: &TcpListener) -> TcpStream {
-    let (attempt, _wanted) = attempt();
+async fn pooled_connection(transport: &Http1, events: &mut TestEvents, listener: &TcpListener) -> TcpStream {
+    let (attempt, _handles) = attempt();
     transport.attempt(attempt);
     let mut stream = accept(listener).await;
     read_head(&mut stream).await;
     write(&mut stream, OK_FIRST).await;
-    let (_, answer) = seen.next_answer().await;
+    let (_, answer) = events.next_answer().await;
     assert_eq!(answer.expect("an answer").body, "first");
     until_idle(transport, 1).await;
     stream
--- a/crates/node/src/transports/http1/transport.rs
+++ b/crates/node/src/transports/http1/transport.rs
@@ -26,7 +26,7 @@
     pub(super) settings: Settings,
     system_calls: Arc<dyn SystemCalls>,
     pub(super) permits: Arc<Semaphore>,
-    pub(super) reports: TransportEvents,
+    pub(super) events: TransportEvents,
     state: Mutex<State>,
 }
 
@@ -38,69 +38,69 @@
 
 /// An upstream and the idle connections to it.
 struct Upstream {
-    peer: UpstreamInfo,
+    info: UpstreamInfo,
     pool: Pool,
 }
 
 /// Where an attempt or a probe gets its connection.
-pub(super) enum Source {
+pub(super) enum ConnectionSource {
     /// One that is open.
     Pooled(Box<Connection>),
     /// A new one.
-    Dial(OwnedSemaphorePermit),
+    New(OwnedSemaphorePermit),
     /// A new one, once this idle one is closed for it.
-    Replace(Box<Connection>),
+    ReplaceIdle(Box<Connection>),
 }
 
-impl Source {
+impl ConnectionSource {
     /// Whether it may have been closed by its upstream since it was last used.
     pub(super) fn is_pooled(&self) -> bool {
-        matches!(self, Source::Pooled(_))
+        matches!(self, ConnectionSource::Pooled(_))
     }
 }
 
 /// Why a source led to no connection.
 #[derive(Debug, Error)]
-pub(super) enum NoConnection {
+pub(super) enum AcquireError {
     /// None came up.
     #[error(transparent)]
     Connect(#[from] ConnectError),
     /// The idle connection that was closed for it did not hand on its permit.
     #[error("a connection that was closed kept its permit")]
-    PermitKept,
+    PermitNotReturned,
 }
 
-impl NoConnection {
+impl AcquireError {
     /// Whether it is this machine's doing and says nothing about the upstream.
     pub(super) fn is_local(&self) -> bool {
         match self {
-            NoConnection::Connect(error) => error.is_local(),
-            NoConnection::PermitKept => true,
+            AcquireError::Connect(error) => error.is_local(),
+            AcquireError::PermitNotReturned => true,
         }
     }
 }
 
 impl Http1 {
     /// A transport that knows no upstream yet.
-    pub fn new(settings: Settings, system_calls: Arc<dyn SystemCalls>, reports: TransportEvents) -> Http1 {
-        let permits = Arc::new(Semaphore::new(settings.connections));
+    pub fn new(settings: Settings, system_calls: Arc<dyn SystemCalls>, events: TransportEvents) -> Http1 {
+        let permits = Arc::new(Semaphore::new(settings.max_connections));
         let state = Mutex::default();
-        Http1 { shared: Arc::new(Shared { settings, system_calls, permits, reports, state }) }
+        Http1 { shared: Arc::new(Shared { settings, system_calls, permits, events, state }) }
     }
 }
 
 impl Transport for Http1 {
-    fn update_upstream(&self, upstream: UpstreamId, peer: UpstreamInfo) {
+    fn update_upstream(&self, upstream: UpstreamId, upstream_info: UpstreamInfo) {
         let mut state = self.shared.state();
-        let known = state
+        let entry = state
             .upstreams
             .entry(upstream)
-            .or_insert_with(|| Upstream { peer: peer.clone(), pool: Pool::default() });
+            .or_insert_with(|| Upstream { info: upstream_info.clone(), pool: Pool::default() });
         // Connections to another address or another life lead nowhere, or to the wrong process.
-        if known.peer.incarnation != peer.incarnation || !peer.serving {
-            known.pool.clear();
+        if entry.info.incarnation != upstream_info.incarnation || !upstream_info.serving {
+            entry.pool.clear();
         }
-        known.peer = peer;
+        entry.info = upstream_info;
     }
 
     fn remove_upstream(&self, upstream: UpstreamId) {
@@ -109,16 +109,17 @@
 
     fn attempt(&self, mut attempt: Attempt) {
         let info = attempt.info;
-        if let Some(rest) = attempt.reuse_limit.max_idle_time() {
-            self.shared.drop_rested(info.upstream, rest);
+        if let Some(max_idle) = attempt.reuse_limit.max_idle_time() {
+            self.shared.close_idle_longer_than(info.upstream, max_idle);
         }
-        let source = if attempt.is_wanted() { self.shared.source(info.upstream, info.until) } else { None };
+        let source =
+            if attempt.is_wanted() { self.shared.acquire_source(info.upstream, info.until) } else { None };
         // An idle connection is taken now, in the order in which the module has sent.
         match source {
-            Some((source, peer)) => {
-                tokio::spawn(self.shared.clone().run_attempt(attempt, source, peer));
+            Some((source, upstream_info)) => {
+                tokio::spawn(self.shared.clone().run_attempt(attempt, source, upstream_info));
             }
-            None => self.shared.reports.attempt_ended(info, AttemptEnd::Outcome(Outcome::NotSent, None)),
+            None => self.shared.events.attempt_ended(info, AttemptEnd::Outcome(Outcome::NotSent, None)),
         }
     }
 
@@ -127,7 +128,7 @@
     }
 
     fn sweep(&self) {
-        let limit = self.shared.settings.idle_limit;
+        let limit = self.shared.settings.idle_timeout;
         self.shared.state().upstreams.values_mut().for_each(|upstream| upstream.pool.sweep(limit));
     }
 
@@ -148,77 +149,86 @@
 
     /// An idle connection, or the right to a new one, for what has to end by `until`. `None` for an upstream that is
     /// not known, and out of sockets of our own: neither is a fault of the upstream's.
-    pub(super) fn source(&self, id: UpstreamId, until: Instant) -> Option<(Source, UpstreamInfo)> {
+    pub(super) fn acquire_source(
+        &self,
+        id: UpstreamId,
+        until: Instant,
+    ) -> Option<(ConnectionSource, UpstreamInfo)> {
         let mut state = self.state();
         let State { upstreams, counts } = &mut *state;
         let upstream = upstreams.get_mut(&id)?;
-        let peer = upstream.peer.clone();
-        if let Some(connection) = upstream.pool.take(self.settings.idle_limit, until) {
+        let upstream_info = upstream.info.clone();
+        if let Some(connection) = upstream.pool.take(self.settings.idle_timeout, until) {
             counts.reused += 1;
-            return Some((Source::Pooled(Box::new(connection)), peer));
+            return Some((ConnectionSource::Pooled(Box::new(connection)), upstream_info));
         }
-        let source = self.dial_source(upstreams);
+        let source = self.new_connection_source(upstreams);
         match source {
             Some(_) => counts.opened += 1,
             None => counts.no_descriptor += 1,
         }
-        source.map(|source| (source, peer))
+        source.map(|source| (source, upstream_info))
     }
 
     /// Whether there is an idle connection to an upstream other than this one.
-    pub(super) fn is_another_reachable(&self, id: UpstreamId) -> bool {
+    pub(super) fn has_idle_connection_to_another(&self, id: UpstreamId) -> bool {
         let state = self.state();
         let mut others = state.upstreams.iter().filter(|(other, _)| **other != id);
-        others.any(|(_, upstream)| upstream.peer.serving && upstream.pool.count() > 0)
+        others.any(|(_, upstream)| upstream.info.serving && upstream.pool.count() > 0)
     }
 
     /// Drops the idle connections to an upstream that have rested for so long.
-    fn drop_rested(&self, id: UpstreamId, rest: Duration) {
+    fn close_idle_longer_than(&self, id: UpstreamId, max_idle: Duration) {
         if let Some(upstream) = self.state().upstreams.get_mut(&id) {
-            upstream.pool.sweep(rest);
+            upstream.pool.sweep(max_idle);
         }
     }
 
     /// The right to one more connection; the one that is longest idle is closed for it if need be.
-    fn dial_source(&self, upstreams: &mut HashMap<UpstreamId, Upstream>) -> Option<Source> {
+    fn new_connection_source(
+        &self,
+        upstreams: &mut HashMap<UpstreamId, Upstream>,
+    ) -> Option<ConnectionSource> {
         if let Ok(permit) = self.permits.clone().try_acquire_owned() {
-            return Some(Source::Dial(permit));
+            return Some(ConnectionSource::New(permit));
         }
         let pools = upstreams.values_mut().map(|upstream| &mut upstream.pool);
         let oldest =
             pools.filter(|pool| pool.oldest().is_some()).min_by_key(|pool| pool.oldest())?.take_oldest()?;
-        Some(Source::Replace(Box::new(oldest)))
+        Some(ConnectionSource::ReplaceIdle(Box::new(oldest)))
     }
 
     /// The connection of a source, opened by `until` if it is not open.
     pub(super) async fn connect(
         &self,
-        source: Source,
-        peer: &UpstreamInfo,
+        source: ConnectionSource,
+        upstream_info: &UpstreamInfo,
         until: Instant,
-    ) -> Result<Connection, NoConnection> {
+    ) -> Result<Connection, AcquireError> {
         let permit = match source {
-            Source::Pooled(connection) => return Ok(*connection),
-            Source::Dial(permit) => permit,
-            Source::Replace(connection) => connection.close().await.ok_or(NoConnection::PermitKept)?,
+            ConnectionSource::Pooled(connection) => return Ok(*connection),
+            ConnectionSource::New(permit) => permit,
+            ConnectionSource::ReplaceIdle(connection) => {
+                connection.close().await.ok_or(AcquireError::PermitNotReturned)?
+            }
         };
         let until = until.min(Instant::now() + self.settings.connect_timeout);
-        let opened = Connection::open(&self.system_calls, peer.dial, until, permit).await;
-        Ok(opened.inspect_err(|error| warn!("upstream {}: {error}", peer.host))?)
+        let opened = Connection::open(&self.system_calls, upstream_info.dial, until, permit).await;
+        Ok(opened.inspect_err(|error| warn!("upstream {}: {error}", upstream_info.host))?)
     }
 
     /// What is known of an upstream now.
-    pub(super) fn peer(&self, id: UpstreamId) -> Option<UpstreamInfo> {
-        self.state().upstreams.get(&id).map(|upstream| upstream.peer.clone())
+    pub(super) fn upstream_info(&self, id: UpstreamId) -> Option<UpstreamInfo> {
+        self.state().upstreams.get(&id).map(|upstream| upstream.info.clone())
     }
 
     /// Keeps a connection for the next, once it can take one. Bytes that the upstream sends before that close it;
     /// what it sends later is seen before the next request's first byte.
-    pub(super) async fn keep(&self, id: UpstreamId, incarnation: u64, connection: Connection) {
-        let Some(connection) = connection.settle().await else { return };
+    pub(super) async fn return_to_pool(&self, id: UpstreamId, incarnation: u64, connection: Connection) {
+        let Some(connection) = connection.wait_until_ready().await else { return };
         let mut state = self.state();
         let Some(upstream) = state.upstreams.get_mut(&id) else { return };
-        if upstream.peer.incarnation == incarnation && upstream.peer.serving && connection.is_usable() {
+        if upstream.info.incarnation == incarnation && upstream.info.serving && connection.is_usable() {
             upstream.pool.put(connection);
         }
     }
