--- a/crates/node/src/transports/http1/attempt.rs
+++ b/crates/node/src/transports/http1/attempt.rs
@@ -1,4 +1,5 @@
-//! The life of an attempt, from its connection to its one end.
+//! Runs an attempt: acquires a connection, waits until it may carry the request, performs the exchange and
+//! reports exactly one end to the engine.
 
 use std::future::pending;
 use std::sync::Arc;
@@ -16,37 +17,38 @@
 use super::write_policy::AttemptWritePolicy;
 use crate::engine::{Attempt, AttemptEnd, MAX_BODY_BYTES, UpstreamInfo};
 
-/// Why nothing was written, where rules of residency forbid it.
-const OUTSIDE_ALLOWED_REGIONS: &str = "outside its regions";
-/// Why an attempt ended that upstreams might not discard as a repeat any more.
-const IDEMPOTENCY_WINDOW_CLOSED: &str = "the window of its key closed";
+/// The reason reported when data residency rules forbid the upstream's zone.
+const OUTSIDE_ALLOWED_REGIONS: &str = "the server's zone is outside the allowed regions";
+/// The reason reported when upstreams might no longer discard the attempt as a repeat.
+const IDEMPOTENCY_WINDOW_CLOSED: &str = "the idempotency window closed";
 
-/// How an attempt ended over one connection.
+/// The result of running an attempt over one connection.
 enum ExchangeEnd {
-    /// The engine was told.
+    /// The attempt ended, and its end has been reported to the engine.
     Reported,
-    /// In a way that the engine has yet to be told.
+    /// The attempt ended, and its end has yet to be reported.
     Ended(AttemptEnd),
-    /// The idle connection had been closed and no byte was written to it: another may be used.
+    /// The upstream had closed the pooled connection, and no byte of the request was written. Another
+    /// connection may be used.
     StaleConnection,
-    /// No connection could be opened, for a reason of this machine's: another try may be made.
+    /// No connection could be opened, for a reason that lies on this machine. Connecting may be retried.
     LocalFailure(AcquireError),
 }
 
 /// Why an attempt has no connection.
 enum ConnectFailure {
-    /// It is not wanted any more, or its key's window closed.
+    /// The attempt was cancelled, or its idempotency window closed.
     Abandoned,
-    /// None came up.
+    /// Opening the connection failed.
     Failed(AcquireError),
 }
 
-/// How far the request of an exchange has been written.
+/// How much of the request of an exchange has been written.
 struct WriteProgress {
     stream: Arc<StreamState>,
-    /// The count of bytes before its first byte.
+    /// The connection's count of written bytes before the first byte of the request.
     start_offset: u64,
-    /// The count with its last byte.
+    /// The count once the last byte of the request is written.
     end_offset: u64,
 }
 
@@ -61,7 +63,7 @@
 }
 
 impl Shared {
-    /// Runs an attempt to its end and tells the engine of it.
+    /// Runs an attempt to its end and reports that end to the engine.
     pub(super) async fn run_attempt(
         self: Arc<Shared>,
         mut attempt: Attempt,
@@ -70,7 +72,7 @@
     ) {
         let info = attempt.info;
         let mut retries = ConnectRetries::new(info.until);
-        // Each turn uses up a connection of the pool or a further try, and there is an end to both.
+        // Terminates: each iteration consumes a pooled connection or a connect retry, and both are finite.
         loop {
             let next = match self.run_over_one_connection(&mut attempt, source, &upstream_info).await {
                 ExchangeEnd::Reported => return,
@@ -104,8 +106,9 @@
             Err(end) => return end_without_connection(end),
         };
         wait_until_reusable(attempt, &connection).await;
-        // Meanwhile its time may have run out, the request may have ended or the upstream may have begun to drain or to
-        // live anew: what is not written yet must not be.
+        // Since the connection was chosen, the deadline may have passed, the request may have ended, or the
+        // upstream may have started draining or restarted. In these cases the request must not be written any
+        // more.
         let policy = AttemptWritePolicy::new(self, attempt, upstream_info);
         let allowed = if attempt.is_cancelled() {
             Err(WriteDenied::AnswerNotWanted)
@@ -120,7 +123,8 @@
         self.run_exchange(attempt, connection, pooled, policy).await
     }
 
-    /// Another connection for an attempt whose idle one had been closed.
+    /// Acquires another connection for an attempt that has written nothing, or returns the attempt's end if
+    /// it may no longer be sent.
     fn replacement_source(
         self: &Arc<Shared>,
         attempt: &mut Attempt,
@@ -135,7 +139,9 @@
         source.ok_or_else(|| Box::new(AttemptEnd::Outcome(Outcome::NotSent, None)))
     }
 
-    /// Another connection for an attempt that could not open one, after a pause. It says nothing about the upstream.
+    /// Waits for a backoff and acquires another connection for an attempt that could not open one for a local
+    /// reason. Such a failure says nothing about the upstream. Without retries left, the attempt ends as a
+    /// local failure.
     async fn retry_after_local_failure(
         self: &Arc<Shared>,
         attempt: &mut Attempt,
@@ -156,7 +162,7 @@
         self.replacement_source(attempt, upstream_info)
     }
 
-    /// Opens a connection for an attempt, if it has none yet.
+    /// Returns the pooled connection of a source, or opens a new one unless the attempt is cancelled first.
     async fn connect_for_attempt(
         &self,
         attempt: &mut Attempt,
@@ -166,7 +172,8 @@
         let window_closes_at = window_closes_at(attempt);
         let until = attempt.info.until.min(window_closes_at.unwrap_or(attempt.info.until));
         let connected = tokio::select! {
-            // One that is open already is not lost to an attempt that was given up.
+            // `biased` with the connection first: a connection that is already open is kept for reuse even if
+            // the attempt has been cancelled.
             biased;
             connected = self.connect(source, upstream_info, until) => connected,
             _ = &mut attempt.cancelled => return Err(ConnectFailure::Abandoned),
@@ -181,7 +188,8 @@
         })
     }
 
-    /// Runs an attempt over a connection until it ends, its time is up or it is given up.
+    /// Sends an attempt over a connection and waits until it ends, reaches its deadline, is cancelled, or its
+    /// idempotency window closes before the request is completely written.
     async fn run_exchange(
         &self,
         attempt: &mut Attempt,
@@ -214,15 +222,15 @@
         };
         let failure = match exchanged {
             Ok(answer) => {
-                // The engine hears of the answer before the connection settles.
+                // The answer is reported first, since waiting for the connection to become ready takes time.
                 self.events.attempt_ended(info, AttemptEnd::Outcome(outcome_of(&answer), Some(answer)));
                 self.return_to_pool(info.upstream, upstream_info.incarnation, connection).await;
                 return ExchangeEnd::Reported;
             }
             Err(failure) => failure,
         };
-        // Closed before the engine hears of it: the next attempt must not go out while this one may still run. Only
-        // then is it certain how much was written.
+        // The connection is closed before the failure is reported: the next attempt must not be sent while
+        // this one may still be executed. The count of written bytes is also final only after the close.
         let used = connection.used;
         connection.close().await;
         let broke_before_first_byte =
@@ -237,12 +245,14 @@
     }
 }
 
-/// When the window of an attempt's key closes, as far as another attempt has opened it.
+/// When the idempotency window of an attempt closes. `None` if the attempt has no window, or no other attempt
+/// has opened it yet.
 fn window_closes_at(attempt: &Attempt) -> Option<Instant> {
     attempt.idempotency_window.as_ref().and_then(|window| window.closes_at(attempt.info.attempt))
 }
 
-/// Waits until a request that has to be written whole by then is not.
+/// Completes when the idempotency window closes while the request is not completely written. Otherwise never
+/// completes.
 async fn incomplete_at_window_close(window_closes_at: Option<Instant>, progress: &WriteProgress) {
     let Some(window_closes_at) = window_closes_at else { return pending().await };
     sleep_until(window_closes_at).await;
@@ -251,7 +261,7 @@
     }
 }
 
-/// Waits until a connection has rested, unless the attempt is given up before.
+/// Waits until a connection may carry its next request, or until the attempt is cancelled.
 async fn wait_until_reusable(attempt: &mut Attempt, connection: &Connection) {
     let reusable_at = connection.reusable_at();
     if reusable_at > Instant::now() && !attempt.is_cancelled() {
@@ -263,7 +273,7 @@
     }
 }
 
-/// The end of an attempt that has no connection.
+/// Maps the failure to get a connection to the end of the attempt, or to a local failure that may be retried.
 fn end_without_connection(why: ConnectFailure) -> ExchangeEnd {
     match why {
         ConnectFailure::Abandoned => ExchangeEnd::Ended(AttemptEnd::Outcome(Outcome::NotSent, None)),
@@ -272,13 +282,17 @@
     }
 }
 
-/// Whether a connection that broke before anything was written had only been idle for too long.
+/// Whether a pooled connection that broke before the first byte was merely stale: the upstream had closed it
+/// or sent unexpected bytes while it was idle, and no other rule denied the write.
 fn is_stale_connection(first_denial: Option<WriteDenied>) -> bool {
     matches!(first_denial, None | Some(WriteDenied::ConnectionClosed | WriteDenied::UnexpectedBytes))
 }
 
-/// The end of an attempt of which nothing was written. Where its connection was open already, or there was none to wait
-/// for, the time that ran out was ours.
+/// The end of an attempt of which nothing was written.
+///
+/// `was_open` says that the time was not spent connecting to the upstream: the connection was already open,
+/// or there was none to wait for. A deadline that passes then is the sidecar's own delay, and the attempt
+/// counts as not sent.
 fn end_before_first_byte(reason: WriteDenied, was_open: bool) -> AttemptEnd {
     match reason {
         WriteDenied::DeadlineExceeded if was_open => AttemptEnd::Outcome(Outcome::NotSent, None),
@@ -292,16 +306,19 @@
         WriteDenied::DeadlineExceeded | WriteDenied::NotServing | WriteDenied::NoExchange => {
             AttemptEnd::Outcome(Outcome::Unreachable, None)
         }
-        WriteDenied::ConnectionClosed => {
-            AttemptEnd::Failed(Outcome::Unreachable, "closed before the request".to_owned())
-        }
-        WriteDenied::UnexpectedBytes => {
-            AttemptEnd::Failed(Outcome::Unreachable, "bytes came before the request".to_owned())
-        }
+        WriteDenied::ConnectionClosed => AttemptEnd::Failed(
+            Outcome::Unreachable,
+            "the server closed the connection before the request was sent".to_owned(),
+        ),
+        WriteDenied::UnexpectedBytes => AttemptEnd::Failed(
+            Outcome::Unreachable,
+            "the server sent bytes before the request was sent".to_owned(),
+        ),
     }
 }
 
-/// The end of an attempt whose connection is closed, by what was written of it.
+/// The end of an attempt whose exchange failed, by how much of the request was written. The connection must
+/// be closed.
 fn end_of_failed_exchange(failure: ExchangeError, progress: &WriteProgress, used: bool) -> AttemptEnd {
     if let (ExchangeError::ConnectionBroken(_), true, Some(reason)) =
         (&failure, progress.nothing_written(), progress.stream.first_denial())
@@ -316,13 +333,13 @@
         ExchangeError::IdempotencyWindowClosed if progress.nothing_written() => {
             end_before_first_byte(WriteDenied::IdempotencyWindowClosed, used)
         }
-        // The upstream says that it never ran.
+        // The upstream states that it did not execute the request.
         ExchangeError::EarlyAnswer(answer) if outcome_of(&answer) == Outcome::Full => {
             AttemptEnd::Outcome(Outcome::Full, Some(answer))
         }
         ExchangeError::Cancelled => AttemptEnd::Outcome(Outcome::Cancelled, None),
         failure if progress.is_complete() => end_after_complete_request(failure, used),
-        // Its client left while it was written; the rest never will be.
+        // The client left while the request was being written. The rest of it is never written.
         ExchangeError::ConnectionBroken(_)
             if progress.stream.first_denial() == Some(WriteDenied::AnswerNotWanted) =>
         {
@@ -332,18 +349,19 @@
     }
 }
 
-/// The end of an attempt whose last byte was written: it may have run.
+/// The end of a failed attempt whose request was completely written. The upstream may have executed it.
 fn end_after_complete_request(failure: ExchangeError, used: bool) -> AttemptEnd {
     match failure {
         ExchangeError::ConnectionBroken(error) => {
-            let what = if used { "a used connection" } else { "a new connection" };
+            let what = if used { "a reused connection" } else { "a new connection" };
             AttemptEnd::Failed(Outcome::Reset, format!("{what} broke: {}", error_with_source(&error)))
         }
-        ExchangeError::EarlyAnswer(_) => {
-            AttemptEnd::Failed(Outcome::Reset, "answered before the request was written".to_owned())
-        }
+        ExchangeError::EarlyAnswer(_) => AttemptEnd::Failed(
+            Outcome::Reset,
+            "the server answered before the request was completely written".to_owned(),
+        ),
         ExchangeError::AnswerTooLong => {
-            AttemptEnd::Failed(Outcome::Error, format!("an answer longer than {MAX_BODY_BYTES} bytes"))
+            AttemptEnd::Failed(Outcome::Error, format!("the answer is longer than {MAX_BODY_BYTES} bytes"))
         }
         ExchangeError::TimedOut => AttemptEnd::Outcome(Outcome::TimedOut, None),
         ExchangeError::Cancelled => AttemptEnd::Outcome(Outcome::Cancelled, None),
@@ -353,7 +371,8 @@
     }
 }
 
-/// The end of an attempt whose last byte was never written, and now never will be.
+/// The end of a failed attempt of which only a part was written. The rest is never written, so no upstream
+/// executes it.
 fn end_after_partial_request(failure: ExchangeError) -> AttemptEnd {
     match failure {
         ExchangeError::ConnectionBroken(error) => {
@@ -361,12 +380,13 @@
         }
         ExchangeError::EarlyAnswer(answer) => {
             let status = answer.status.as_u16();
-            let reason = format!("answered {status} before the request was written");
+            let reason = format!("the server answered {status} before the request was completely written");
             AttemptEnd::Failed(Outcome::Unreachable, reason)
         }
-        ExchangeError::AnswerTooLong => {
-            AttemptEnd::Failed(Outcome::Unreachable, "a long answer before the request".to_owned())
-        }
+        ExchangeError::AnswerTooLong => AttemptEnd::Failed(
+            Outcome::Unreachable,
+            "the server sent too long an answer before the request was completely written".to_owned(),
+        ),
         ExchangeError::IdempotencyWindowClosed => {
             AttemptEnd::Failed(Outcome::Unreachable, IDEMPOTENCY_WINDOW_CLOSED.to_owned())
         }
--- a/crates/node/src/transports/http1/connect_retries.rs
+++ b/crates/node/src/transports/http1/connect_retries.rs
@@ -1,26 +1,28 @@
-//! Further tries to open a connection where none came up for a reason of this machine's: no descriptor, port, buffer or
-//! route. Nothing reached the upstream, and the next call may do better.
+//! Retries of opening a connection after a failure that lies on this machine: it lacks a descriptor, port,
+//! buffer or route. Nothing reached the upstream, and the next system call may succeed.
 
 use std::slice::Iter;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Pauses before further tries. The first are nearly none: what one call lacked, the next one often has. Later ones
-/// leave time for other requests to end and to free what they hold. All of them take 64 ms.
+/// The backoff before each retry. The first ones are very short, since the resource that one call lacked is
+/// often available to the next. Later ones leave time for other requests to end and to free their resources.
+/// All of them take 64 ms in total.
 const BACKOFF_MS: [u64; 7] = [1, 1, 2, 4, 8, 16, 32];
-/// So many further tries are made where another upstream can be reached without a new connection.
+/// The maximum number of retries while another upstream has an idle connection, over which the request could
+/// be sent instead.
 const MAX_RETRIES_WITH_ALTERNATIVE: usize = 3;
 
-/// The further tries that one attempt or probe has left.
+/// The connect retries that one attempt or probe has left.
 pub struct ConnectRetries {
     deadline: Instant,
     backoffs: Iter<'static, u64>,
 }
 
 impl ConnectRetries {
-    /// Those of an attempt or a probe that begins now. They take up at most half of its time, so that a connection that
-    /// does not come up after them has had time enough to.
+    /// The retries of an attempt or probe that begins now and must end by `until`. They use at most half of its
+    /// time. If a connection opened after them is not established by `until`, that is not for lack of time.
     pub fn new(until: Instant) -> ConnectRetries {
         let now = Instant::now();
         ConnectRetries {
@@ -29,8 +31,8 @@
         }
     }
 
-    /// The pause before the next try. `None` if there is none left, or if there were some and another upstream can be
-    /// reached without a new connection.
+    /// The backoff before the next retry. Returns `None` if no retry is left, or if
+    /// [`MAX_RETRIES_WITH_ALTERNATIVE`] retries were made and another upstream has an idle connection.
     pub fn next_backoff(&mut self, has_idle_connection_to_another: bool) -> Option<Duration> {
         let retries_made = BACKOFF_MS.len() - self.backoffs.len();
         if has_idle_connection_to_another && retries_made >= MAX_RETRIES_WITH_ALTERNATIVE {
--- a/crates/node/src/transports/http1/connection.rs
+++ b/crates/node/src/transports/http1/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to an upstream, from its opening until its socket is closed.
+//! An HTTP/1.1 connection to an upstream, from its opening until its socket is closed.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,31 +17,34 @@
 use super::stream::{GuardedStream, StreamState};
 use crate::socket::{ConnectError, SystemCalls, connect};
 
-/// Room for a head; hyper also reads bodies through it.
+/// The size limit of hyper's buffer. It bounds the head of an answer; hyper also reads bodies through this
+/// buffer.
 const BUFFER_BYTES: usize = 32 << 10;
-/// How long a connection may take to become ready for the next request once an answer was read.
+/// How long a connection may take to become ready for the next request after an answer has been read.
 const READY_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// An open connection. Dropped, it is closed by its task soon after; [`Connection::close`] waits until it is.
+/// An open connection. When it is dropped, its task closes the socket soon after; [`Connection::close`] waits
+/// for that.
 ///
-/// The task owns the socket and the permit for it, and lets go of the permit after the socket: there are never more
-/// sockets than permits.
+/// The task owns the socket and its permit, and releases the permit only after the socket is closed. So there
+/// are never more open sockets than permits.
 pub struct Connection {
-    /// For the next exchange.
+    /// Sends the request of the next exchange.
     pub sender: SendRequest<Full<Bytes>>,
-    /// The state of its stream.
+    /// Counts the bytes written to the stream and controls its writes.
     pub stream: Arc<StreamState>,
-    /// Whether it has carried a request before.
+    /// Whether the connection has carried a request and begun to receive its answer.
     pub used: bool,
-    /// Since when it has carried nothing: since its last answer was read whole, or since it was opened.
+    /// When the connection became idle: when its last answer was completely read, or when it was opened.
     pub idle_since: Instant,
-    /// Dropped or used to close it.
+    /// Tells the task to close the connection when it is dropped or sent to.
     close: oneshot::Sender<()>,
+    /// Drives the connection and returns the permit after closing the socket.
     task: JoinHandle<OwnedSemaphorePermit>,
 }
 
 impl Connection {
-    /// Connects by `until`.
+    /// Opens a connection by `until`. The permit is held until the socket is closed.
     pub async fn open(
         system_calls: &Arc<dyn SystemCalls>,
         dial: SocketAddr,
@@ -58,7 +61,8 @@
             .map_err(|error| ConnectError::Remote(io::Error::other(error)))?;
         let (close, closed) = oneshot::channel();
         let task = tokio::spawn(async move {
-            // How an exchange failed shows at the exchange. Once it is to be closed, nothing more is written.
+            // `biased` with `closed` first: once a close is requested, nothing more is written. The error of
+            // the connection is dropped here, since the exchange reports it.
             tokio::select! {
                 biased;
                 _ = closed => {}
@@ -69,23 +73,26 @@
         Ok(Connection { sender, stream, used: false, idle_since: Instant::now(), close, task })
     }
 
-    /// Whether it can take a request now, as far as this side has heard.
+    /// Whether the connection can take a request now, as far as hyper has processed what the upstream sent.
     pub fn is_usable(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Closes it. When this returns the socket is closed, and its permit is free for another.
+    /// Closes the connection and returns its permit, which can be used for another. The socket is closed when
+    /// this returns. Returns `None` if the connection's task panicked.
     pub async fn close(self) -> Option<OwnedSemaphorePermit> {
         drop(self.close);
         self.task.await.ok()
     }
 
-    /// When it may carry the next request: one that carried none yet at once, any other once it has rested.
+    /// When the connection may carry its next request: at once if it has carried none yet, otherwise after it
+    /// has been idle for [`MIN_IDLE_BEFORE_REUSE`].
     pub fn reusable_at(&self) -> Instant {
         if self.used { self.idle_since + MIN_IDLE_BEFORE_REUSE } else { self.idle_since }
     }
 
-    /// Waits until the next request can be sent. `None` if the upstream closes it.
+    /// Waits until the next request can be sent. Returns `None` if the connection closes or does not become
+    /// ready in time.
     pub async fn wait_until_ready(mut self) -> Option<Connection> {
         timeout(READY_TIMEOUT, self.sender.ready()).await.ok()?.ok()?;
         Some(self)
--- a/crates/node/src/transports/http1/exchange.rs
+++ b/crates/node/src/transports/http1/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its answer over a connection.
+//! One exchange over a connection: builds the request, sends it once and reads its answer.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,38 +15,42 @@
 use super::stream::WritePolicy;
 use crate::engine::{Answer, ForwardedRequest, MAX_BODY_BYTES};
 
-/// So much less time than is left is told to upstreams. What is told may exceed what the client has left by 150 ms, all
-/// of which a hold-up before the write may take.
+/// How much less than the remaining time is advertised to upstreams in `X-Timeout-Ms`.
+///
+/// The advertised time may exceed what the client has left by at most 150 ms. A stall of this process before
+/// the write may use up that whole allowance.
 const TIMEOUT_MARGIN: Duration = Duration::from_millis(12);
-/// But never more than one such part of what is left.
+/// The margin is at most the remaining time divided by this.
 const TIMEOUT_MARGIN_DIVISOR: u32 = 8;
 
-/// Why an exchange brought no answer to the request.
+/// Why an exchange yielded no valid answer.
 pub enum ExchangeError {
-    /// The connection broke, or the answer was no HTTP.
+    /// The connection broke, or the answer was not valid HTTP.
     ConnectionBroken(hyper::Error),
-    /// An answer that began before the request's last byte was written.
+    /// The answer began before the last byte of the request was written.
     EarlyAnswer(Answer),
-    /// An answer that is too long to take.
+    /// The body of the answer exceeds [`MAX_BODY_BYTES`].
     AnswerTooLong,
-    /// The engine gave it up.
+    /// The engine cancelled the attempt.
     Cancelled,
-    /// Its time was up.
+    /// The attempt reached its deadline.
     TimedOut,
-    /// The window of its key closed before its last byte was written.
+    /// The idempotency window closed before the last byte of the request was written.
     IdempotencyWindowClosed,
 }
 
-/// Sends a request once and reads its answer whole. `complete_at` is the count of bytes written at which the request
-/// can have been written whole.
+/// Sends a request once and reads its complete answer.
+///
+/// The request cannot be completely written before the connection's count of written bytes reaches
+/// `end_offset`. An answer that begins earlier is an error.
 pub async fn exchange(
     connection: &mut Connection,
     request: Request<Full<Bytes>>,
-    rules: Box<dyn WritePolicy>,
+    policy: Box<dyn WritePolicy>,
     end_offset: u64,
 ) -> Result<Answer, ExchangeError> {
-    // From here on, and until this returns or is dropped, the request may be written.
-    let _exchange = connection.stream.begin_exchange(rules);
+    // The guard permits writes until this future completes or is dropped.
+    let _exchange = connection.stream.begin_exchange(policy);
     let response = connection.sender.send_request(request).await.map_err(ExchangeError::ConnectionBroken)?;
     connection.used = true;
     let early = connection.stream.written() < end_offset;
@@ -55,22 +59,23 @@
     if early { Err(ExchangeError::EarlyAnswer(answer)) } else { Ok(answer) }
 }
 
-/// Reads the rest of an answer. One with no length ends with its connection; where that is reset, it has no end.
+/// Reads the body of an answer. A body without a length ends when the upstream closes the connection; a reset
+/// of the connection leaves it incomplete and is an error.
 async fn read_answer(response: Response<Incoming>) -> Result<Answer, ExchangeError> {
     let (head, body) = response.into_parts();
     match Limited::new(body, MAX_BODY_BYTES).collect().await {
         Ok(body) => Ok(Answer { status: head.status, headers: head.headers, body: body.to_bytes() }),
-        // What is not the body's own error is its length.
+        // Any error other than hyper's own comes from `Limited`: the body is too long.
         Err(error) => Err(error
             .downcast()
             .map_or(ExchangeError::AnswerTooLong, |error| ExchangeError::ConnectionBroken(*error))),
     }
 }
 
-/// The bytes that a request takes on the wire. Fewer written mean that its last byte was not.
+/// The number of bytes that a request takes on the wire. As long as fewer are written, its last byte is not.
 ///
-/// It must never exceed what hyper writes. hyper adds nothing to such a request, and leaves out a
-/// `Transfer-Encoding` only, which none of ours has.
+/// The result must never exceed what hyper writes. hyper adds nothing to these requests. It omits only a
+/// `Transfer-Encoding` header, which none of them has.
 pub fn encoded_request_size(request: &Request<Full<Bytes>>, body: usize) -> u64 {
     let target = request.uri().path_and_query().map_or(1, |target| target.as_str().len());
     let line = request.method().as_str().len() + 1 + target + " HTTP/1.1\r\n".len();
@@ -79,18 +84,18 @@
     (line + headers + 2 + body) as u64
 }
 
-/// What an answer means for the attempt.
+/// The outcome of an attempt that got this answer.
 pub fn outcome_of(answer: &Answer) -> Outcome {
-    let not_run = answer.headers.get("x-not-processed").is_some_and(|value| value == "1");
+    let not_processed = answer.headers.get("x-not-processed").is_some_and(|value| value == "1");
     match answer.status {
         StatusCode::OK => Outcome::Ok,
-        // Without the mark nothing says that it never ran.
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run => Outcome::Full,
+        // Without X-Not-Processed, the upstream may have executed the request.
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_processed => Outcome::Full,
         _ => Outcome::Error,
     }
 }
 
-/// An error with what caused it.
+/// Formats an error together with its source.
 pub fn error_with_source(error: &hyper::Error) -> String {
     match std::error::Error::source(error) {
         Some(source) => format!("{error}: {source}"),
@@ -98,7 +103,7 @@
     }
 }
 
-/// The request as it goes to an upstream.
+/// Builds the request that is sent to an upstream at `dial` for an attempt that must end by `until`.
 pub fn upstream_request(
     forward: &ForwardedRequest,
     dial: SocketAddr,
@@ -108,7 +113,8 @@
     *request.method_mut() = forward.method.clone();
     *request.uri_mut() = forward.target.clone();
     let mut headers = forward.headers.clone();
-    // The application's own Host goes on with its other headers; HTTP/1.1 wants one in any case.
+    // A Host header from the application is forwarded unchanged. HTTP/1.1 requires one, so the upstream's
+    // address is used if the application sent none.
     if !headers.contains_key(header::HOST)
         && let Ok(host) = HeaderValue::from_str(&dial.to_string())
     {
@@ -125,14 +131,17 @@
     request
 }
 
-/// The time that an upstream is told, where so much is left: less by what the ways of the request to this sidecar and on
-/// from it may take, of which the client's own clock knows. Where little is left, less of it is kept.
+/// The value of `X-Timeout-Ms` for an attempt with `left` time remaining.
+///
+/// The advertised time is shorter than `left` by a margin for the transfer of the request from the client to
+/// this sidecar and on to the upstream, which counts on the client's own clock. The margin shrinks when
+/// little time is left.
 pub fn advertised_timeout_ms(left: Duration) -> u64 {
-    let told = left - TIMEOUT_MARGIN.min(left / TIMEOUT_MARGIN_DIVISOR);
-    told.as_millis().max(1) as u64
+    let advertised = left - TIMEOUT_MARGIN.min(left / TIMEOUT_MARGIN_DIVISOR);
+    advertised.as_millis().max(1) as u64
 }
 
-/// The request that a probe is.
+/// Builds the request of a probe.
 pub fn probe_request(path: &'static str, dial: SocketAddr) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(Bytes::new()));
     *request.uri_mut() = Uri::from_static(path);
--- a/crates/node/src/transports/http1/mod.rs
+++ b/crates/node/src/transports/http1/mod.rs
@@ -1,4 +1,7 @@
-//! HTTP/1.1 to upstreams: one exchange at a time on a connection, and idle ones kept for the next.
+//! The HTTP/1.1 transport to upstreams.
+//!
+//! A connection carries one exchange (a request and its answer) at a time. Idle connections are pooled per
+//! upstream and reused for later exchanges.
 
 mod attempt;
 mod connect_retries;
--- a/crates/node/src/transports/http1/pool.rs
+++ b/crates/node/src/transports/http1/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to one upstream, and which of them is used next.
+//! The pool of idle connections to one upstream, and the choice of the connection to reuse.
 
 use std::time::Duration;
 
@@ -6,16 +6,21 @@
 
 use super::connection::Connection;
 
-/// A connection that was used less than this ago may still bring bytes that belong to no request: a second answer to
-/// the last one, or the beginning of one. Those that lie in the socket are seen before the first byte is written; those
-/// that cross it on the wire are not, and would be taken for the answer to the next request.
+/// How long a connection must have been idle before it carries another request.
+///
+/// A connection used more recently than this may still deliver bytes that belong to no request: a second
+/// answer to the last request, or the beginning of one. Bytes that are already in the socket are detected
+/// before the first byte of a request is written. Bytes that cross the request on the wire are not detected,
+/// and would be taken for its answer.
 pub const MIN_IDLE_BEFORE_REUSE: Duration = Duration::from_millis(20);
 
-/// Which of the idle connections is used next, by when each of them has rested, the longest idle first.
+/// Chooses the idle connection to use next and returns its index. `reusable_at` says when each of them may be
+/// reused, the longest idle first.
 ///
-/// Among those that have rested the latest used is taken, so that the others can grow old and close. With none, the one
-/// that will have rested first is taken, if that is by `latest`, and whoever takes it waits until then. A handshake
-/// costs the upstream work and the request time; a short wait costs nothing but itself.
+/// Among connections that are reusable now, the most recently used is chosen, so that the others can reach
+/// the idle timeout and close. If none is reusable now, the one that becomes reusable first is chosen,
+/// provided that this is no later than `latest`. The caller then has to wait until it is reusable. A short
+/// wait is cheaper than a new connection, whose handshake costs the upstream work and delays the request.
 pub fn choose_connection(
     reusable_at: impl DoubleEndedIterator<Item = Instant> + ExactSizeIterator,
     now: Instant,
@@ -40,8 +45,8 @@
 }
 
 impl Pool {
-    /// Takes the one that is to be used next by what has to end by `until`, if there is one. It may have to rest first,
-    /// for half of that time at most.
+    /// Takes the connection to reuse for an attempt or probe that must end by `until`, if there is one. The
+    /// caller may have to wait until it is reusable, for at most half of the remaining time.
     pub fn take(&mut self, idle_timeout: Duration, until: Instant) -> Option<Connection> {
         self.sweep(idle_timeout);
         let now = Instant::now();
@@ -50,33 +55,34 @@
         Some(self.idle.remove(index))
     }
 
-    /// Takes one back.
+    /// Adds an idle connection, in the order of `idle_since`.
     pub fn put(&mut self, connection: Connection) {
         let index = self.idle.partition_point(|idle| idle.idle_since <= connection.idle_since);
         self.idle.insert(index, connection);
     }
 
-    /// Closes those that were closed by the upstream or have been idle for too long.
+    /// Drops the connections that the upstream has closed and those that have been idle for `idle_timeout` or
+    /// longer.
     pub fn sweep(&mut self, idle_timeout: Duration) {
         self.idle.retain(|c| c.is_usable() && c.idle_since.elapsed() < idle_timeout);
     }
 
-    /// How many there are.
+    /// The number of idle connections.
     pub fn count(&self) -> usize {
         self.idle.len()
     }
 
-    /// Since when the one longest idle has been so.
+    /// When the longest idle connection became idle.
     pub fn oldest(&self) -> Option<Instant> {
         self.idle.first().map(|connection| connection.idle_since)
     }
 
-    /// Takes the one longest idle, for it to be closed.
+    /// Takes the longest idle connection, for the caller to close.
     pub fn take_oldest(&mut self) -> Option<Connection> {
         (!self.idle.is_empty()).then(|| self.idle.remove(0))
     }
 
-    /// Closes all.
+    /// Closes all idle connections.
     pub fn clear(&mut self) {
         self.idle.clear();
     }
--- a/crates/node/src/transports/http1/probe.rs
+++ b/crates/node/src/transports/http1/probe.rs
@@ -1,4 +1,4 @@
-//! Probes of upstreams.
+//! Runs probes, which request the health or the load of an upstream over its pooled connections or a new one.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use super::transport::Shared;
 use crate::engine::Answer;
 
-/// What may be written at any time, as a probe may.
+/// A write policy that allows every write. Probes are subject to no rules.
 pub struct AlwaysAllow;
 
 impl WritePolicy for AlwaysAllow {
@@ -25,10 +25,10 @@
 }
 
 impl Shared {
-    /// Probes an upstream and tells what came of it.
+    /// Probes an upstream until `until` and reports the answer, or its absence, to the engine.
     pub(super) async fn run_probe(self: Arc<Shared>, upstream: UpstreamId, until: Instant) {
         let mut retries = ConnectRetries::new(until);
-        // Each turn uses up a connection of the pool or a further try, and there is an end to both.
+        // Terminates: each iteration consumes a pooled connection or a connect retry, and both are finite.
         while Instant::now() < until {
             match self.probe_once(upstream, until).await {
                 ProbeEnd::Answered => return,
@@ -43,6 +43,7 @@
         self.events.probe_ended(upstream, None);
     }
 
+    /// Runs a probe over one connection.
     async fn probe_once(&self, upstream: UpstreamId, until: Instant) -> ProbeEnd {
         let Some((source, upstream_info)) = self.acquire_source(upstream, until) else {
             return ProbeEnd::Failed;
@@ -74,19 +75,21 @@
         }
     }
 
+    /// Reports the answer of a probe to the engine.
     fn report_probe_answer(&self, upstream: UpstreamId, answer: Answer) {
         self.events.probe_ended(upstream, Some(answer));
     }
 }
 
-/// How a probe over one connection ended.
+/// The result of running a probe over one connection.
 enum ProbeEnd {
-    /// With an answer, which was told.
+    /// The upstream answered, and the answer has been reported to the engine.
     Answered,
-    /// Without one.
+    /// The probe got no answer.
     Failed,
-    /// The idle connection had been closed, and nothing was written to it: another may be used.
+    /// The upstream had closed the pooled connection, and nothing was written. Another connection may be
+    /// used.
     StaleConnection,
-    /// No connection could be opened, for a reason of this machine's.
+    /// No connection could be opened, for a reason that lies on this machine. Connecting may be retried.
     LocalFailure,
 }
--- a/crates/node/src/transports/http1/settings.rs
+++ b/crates/node/src/transports/http1/settings.rs
@@ -1,28 +1,28 @@
-//! What the platform says of connections to upstreams.
+//! Settings of the transport, derived from the platform's configuration.
 
 use std::time::Duration;
 
 use sagemast::settings::Config as PlatformSettings;
 
-/// Idle connections are closed after this share of the time that upstreams keep them.
+/// Idle connections are closed after this fraction of the time for which upstreams keep them open.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.7;
 
-/// What the platform says of connections to upstreams.
+/// Limits and timeouts of the connections to upstreams, and the path of probes.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// So many connections at most, over all upstreams.
+    /// The maximum number of open connections, over all upstreams.
     pub max_connections: usize,
-    /// A connection takes at most so long to come up.
+    /// The maximum time that opening a connection may take.
     pub connect_timeout: Duration,
-    /// A connection that has carried nothing for so long is closed: one that is written to just as the upstream
-    /// closes it ends as a reset.
+    /// Connections that have been idle for this long are closed. Otherwise a request could be written to a
+    /// connection just as the upstream closes it, and would fail with a reset.
     pub idle_timeout: Duration,
-    /// The path that probes ask for.
+    /// The path that probes request.
     pub probe_path: &'static str,
 }
 
 impl Settings {
-    /// What the platform's settings say, with so many connections at most.
+    /// Derives the settings from the platform's, with a maximum number of connections.
     pub fn new(settings: &PlatformSettings, max_connections: usize) -> Settings {
         Settings {
             max_connections,
--- a/crates/node/src/transports/http1/stream.rs
+++ b/crates/node/src/transports/http1/stream.rs
@@ -1,8 +1,10 @@
-//! The stream beneath an HTTP connection. It counts the bytes written, which tells whether a request can have
-//! reached its upstream, and asks before each write whether it may still be made.
+//! The stream beneath an HTTP connection.
 //!
-//! hyper writes from a task of its own, some time after it was handed a request. Asking at the write itself leaves
-//! no gap between the decision and the first byte.
+//! It counts the bytes written, which shows whether a request can have reached its upstream. Before each
+//! write it checks the write policy of the current exchange.
+//!
+//! hyper writes from a task of its own, some time after a request is handed to it. A check at the write
+//! itself leaves no gap between the decision and the first byte.
 
 use std::io::{self, ErrorKind, IoSlice};
 use std::pin::Pin;
@@ -14,42 +16,44 @@
 
 use crate::socket::Stream;
 
-/// Why a write was not made.
+/// Why a write was denied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteDenied {
     /// The upstream had closed or reset the connection before anything was written.
     ConnectionClosed,
-    /// The upstream had sent bytes that no request of this exchange can have caused.
+    /// The upstream had sent bytes before the request was written, so they cannot answer it.
     UnexpectedBytes,
-    /// No exchange is under way.
+    /// No exchange is in progress on the connection.
     NoExchange,
-    /// Nobody waits for the answer any more.
+    /// The answer is no longer needed: the client has left, the request has been answered, or the attempt was
+    /// cancelled.
     AnswerNotWanted,
-    /// The attempt's time was up.
+    /// The attempt's deadline has passed.
     DeadlineExceeded,
-    /// The upstream drains, is gone or was restarted.
+    /// The upstream is draining, was removed or has restarted.
     NotServing,
-    /// Rules of residency forbid it.
+    /// Data residency rules forbid the upstream's zone.
     OutsideAllowedRegions,
-    /// Upstreams might not discard the request as a repeat any more.
+    /// The idempotency window has closed: upstreams might no longer discard the request as a repeat.
     IdempotencyWindowClosed,
 }
 
-/// Decides on the writes of one exchange.
+/// Decides whether the bytes of one exchange may be written.
 pub trait WritePolicy: Send {
-    /// Whether its first byte may be written now.
+    /// Checks whether the first byte of the request may be written now.
     fn check_first_write(&self) -> Result<(), WriteDenied>;
-    /// Whether a further byte may be written now.
+    /// Checks whether further bytes of the request may be written now.
     fn check_next_write(&self) -> Result<(), WriteDenied>;
 }
 
-/// An exchange that is under way on a stream.
+/// An exchange that is in progress on a stream.
 struct Exchange {
     policy: Box<dyn WritePolicy>,
+    /// Whether the first write of the exchange has been allowed.
     started: bool,
 }
 
-/// What a stream shares with the owner of its connection; hyper owns the stream itself.
+/// The state that a stream shares with the owner of its connection. hyper owns the stream itself.
 #[derive(Default)]
 pub struct StreamState {
     written: AtomicU64,
@@ -58,30 +62,34 @@
 }
 
 impl StreamState {
-    /// Bytes that the kernel has taken so far.
+    /// The number of bytes that the kernel has accepted so far.
     pub fn written(&self) -> u64 {
         self.written.load(Ordering::Relaxed)
     }
 
-    /// Why the first write that was not made was not.
+    /// The reason for the first denied write, if a write was denied.
     pub fn first_denial(&self) -> Option<WriteDenied> {
         *lock(&self.first_denial)
     }
 
-    /// Begins an exchange, which ends when the returned value is dropped. Nothing is written outside of one.
+    /// Begins an exchange, which ends when the returned guard is dropped. Outside an exchange every write is
+    /// denied.
     pub fn begin_exchange(self: &Arc<Self>, policy: Box<dyn WritePolicy>) -> ExchangeGuard {
         *lock(&self.exchange) = Some(Exchange { policy, started: false });
         ExchangeGuard(self.clone())
     }
 
-    /// Decides on a write that is about to be made to this socket.
+    /// Checks a write that is about to be made to `socket`, and records the reason if it is the first denied
+    /// one.
     fn authorize_write(&self, socket: &Stream) -> io::Result<()> {
         self.check_write(socket).map_err(|reason| {
             lock(&self.first_denial).get_or_insert(reason);
-            io::Error::new(ErrorKind::ConnectionAborted, "the write was withheld")
+            io::Error::new(ErrorKind::ConnectionAborted, "the write policy denied the write")
         })
     }
 
+    /// Checks a write against the policy of the current exchange. The first write also requires a socket
+    /// without pending input.
     fn check_write(&self, socket: &Stream) -> Result<(), WriteDenied> {
         let mut exchange = lock(&self.exchange);
         let Some(Exchange { policy, started }) = exchange.as_mut() else {
@@ -97,7 +105,7 @@
     }
 }
 
-/// Keeps an exchange open.
+/// Ends its exchange when dropped.
 pub struct ExchangeGuard(Arc<StreamState>);
 
 impl Drop for ExchangeGuard {
@@ -106,13 +114,15 @@
     }
 }
 
+/// Locks a mutex, and ignores that a thread may have panicked while it held the lock.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Checks that neither bytes nor an end wait in the socket.
+/// Checks that neither bytes nor an end of stream are pending in the socket.
 ///
-/// It reads past the runtime. A byte that it takes is missed by nobody: a connection with such a byte is closed.
+/// This reads from the socket directly, without waiting for the runtime to report it readable. The byte that
+/// it may consume is not missed, since a connection with pending bytes is closed.
 fn check_no_pending_input(socket: &Stream) -> Result<(), WriteDenied> {
     match socket.receive_now(&mut [0]) {
         Ok(0) => Err(WriteDenied::ConnectionClosed),
@@ -122,20 +132,20 @@
     }
 }
 
-/// A stream that counts its writes and asks before each.
+/// A stream that counts the bytes written and checks each write against the policy of the current exchange.
 pub struct GuardedStream {
     socket: Stream,
     state: Arc<StreamState>,
 }
 
 impl GuardedStream {
-    /// Guards a socket that nothing was written to yet.
+    /// Wraps a socket to which nothing has been written yet. Returns the stream and its shared state.
     pub fn new(socket: Stream) -> (GuardedStream, Arc<StreamState>) {
         let state = Arc::new(StreamState::default());
         (GuardedStream { socket, state: state.clone() }, state)
     }
 
-    /// Makes a write if it may be made, and counts it.
+    /// Performs a write if it is allowed, and counts the bytes written.
     fn write(
         &mut self,
         write: impl FnOnce(Pin<&mut Stream>) -> Poll<io::Result<usize>>,
--- a/crates/node/src/transports/http1/transport.rs
+++ b/crates/node/src/transports/http1/transport.rs
@@ -1,4 +1,5 @@
-//! What the transport knows of upstreams, and where connections to them come from.
+//! The transport itself: its table of upstreams, their connection pools, and the choice between reusing an
+//! idle connection and opening a new one.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -16,20 +17,23 @@
 use crate::engine::{Attempt, AttemptEnd, ConnectionCounts, Transport, TransportEvents, UpstreamInfo};
 use crate::socket::{ConnectError, SystemCalls};
 
-/// The transport.
+/// An HTTP/1.1 transport for attempts and probes.
 pub struct Http1 {
     pub(super) shared: Arc<Shared>,
 }
 
-/// What the transport shares with the tasks of its attempts and probes.
+/// The state that the transport shares with the tasks of its attempts and probes.
 pub(super) struct Shared {
     pub(super) settings: Settings,
     system_calls: Arc<dyn SystemCalls>,
+    /// One permit per open connection, over all upstreams.
     pub(super) permits: Arc<Semaphore>,
+    /// Reports the ends of attempts and probes to the engine.
     pub(super) events: TransportEvents,
     state: Mutex<State>,
 }
 
+/// The mutable part of [`Shared`].
 #[derive(Default)]
 pub(super) struct State {
     upstreams: HashMap<UpstreamId, Upstream>,
@@ -44,34 +48,35 @@
 
 /// Where an attempt or a probe gets its connection.
 pub(super) enum ConnectionSource {
-    /// One that is open.
+    /// An open connection from the pool.
     Pooled(Box<Connection>),
-    /// A new one.
+    /// A new connection, which uses this permit.
     New(OwnedSemaphorePermit),
-    /// A new one, once this idle one is closed for it.
+    /// A new connection, which takes over the permit of this idle one once that is closed.
     ReplaceIdle(Box<Connection>),
 }
 
 impl ConnectionSource {
-    /// Whether it may have been closed by its upstream since it was last used.
+    /// Whether the connection comes from the pool. The upstream may have closed such a connection since its
+    /// last use.
     pub(super) fn is_pooled(&self) -> bool {
         matches!(self, ConnectionSource::Pooled(_))
     }
 }
 
-/// Why a source led to no connection.
+/// Why a [`ConnectionSource`] yielded no connection.
 #[derive(Debug, Error)]
 pub(super) enum AcquireError {
-    /// None came up.
+    /// Opening a new connection failed.
     #[error(transparent)]
     Connect(#[from] ConnectError),
-    /// The idle connection that was closed for it did not hand on its permit.
-    #[error("a connection that was closed kept its permit")]
+    /// The idle connection that was closed to make room did not return its permit.
+    #[error("closing an idle connection did not return its permit")]
     PermitNotReturned,
 }
 
 impl AcquireError {
-    /// Whether it is this machine's doing and says nothing about the upstream.
+    /// Whether the cause lies on this machine, so that the error says nothing about the upstream.
     pub(super) fn is_local(&self) -> bool {
         match self {
             AcquireError::Connect(error) => error.is_local(),
@@ -81,7 +86,7 @@
 }
 
 impl Http1 {
-    /// A transport that knows no upstream yet.
+    /// Creates a transport with no upstreams. It reports the ends of attempts and probes to `events`.
     pub fn new(settings: Settings, system_calls: Arc<dyn SystemCalls>, events: TransportEvents) -> Http1 {
         let permits = Arc::new(Semaphore::new(settings.max_connections));
         let state = Mutex::default();
@@ -96,7 +101,8 @@
             .upstreams
             .entry(upstream)
             .or_insert_with(|| Upstream { info: upstream_info.clone(), pool: Pool::default() });
-        // Connections to another address or another life lead nowhere, or to the wrong process.
+        // Connections to an earlier incarnation are dead or lead to the wrong process. An upstream that is
+        // not serving gets no further requests.
         if entry.info.incarnation != upstream_info.incarnation || !upstream_info.serving {
             entry.pool.clear();
         }
@@ -114,7 +120,8 @@
         }
         let source =
             if attempt.is_wanted() { self.shared.acquire_source(info.upstream, info.until) } else { None };
-        // An idle connection is taken now, in the order in which the module has sent.
+        // The connection is chosen here rather than in the task, so that attempts take idle connections in
+        // the order in which the decision module sent them.
         match source {
             Some((source, upstream_info)) => {
                 tokio::spawn(self.shared.clone().run_attempt(attempt, source, upstream_info));
@@ -142,13 +149,15 @@
 }
 
 impl Shared {
-    /// Held for moments only, never over a wait.
+    /// Locks the state. The guard must be held only briefly and never across an await.
     pub(super) fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// An idle connection, or the right to a new one, for what has to end by `until`. `None` for an upstream that is
-    /// not known, and out of sockets of our own: neither is a fault of the upstream's.
+    /// Finds an idle connection, or a permit for a new one, for an attempt or probe that must end by `until`.
+    ///
+    /// Returns `None` if the upstream is unknown, or if all permits are taken and no idle connection can be
+    /// closed for its permit. Neither is the upstream's fault.
     pub(super) fn acquire_source(
         &self,
         id: UpstreamId,
@@ -170,21 +179,22 @@
         source.map(|source| (source, upstream_info))
     }
 
-    /// Whether there is an idle connection to an upstream other than this one.
+    /// Whether an upstream other than `id` is serving and has an idle connection.
     pub(super) fn has_idle_connection_to_another(&self, id: UpstreamId) -> bool {
         let state = self.state();
         let mut others = state.upstreams.iter().filter(|(other, _)| **other != id);
         others.any(|(_, upstream)| upstream.info.serving && upstream.pool.count() > 0)
     }
 
-    /// Drops the idle connections to an upstream that have rested for so long.
+    /// Closes the connections to an upstream that have been idle for `max_idle` or longer.
     fn close_idle_longer_than(&self, id: UpstreamId, max_idle: Duration) {
         if let Some(upstream) = self.state().upstreams.get_mut(&id) {
             upstream.pool.sweep(max_idle);
         }
     }
 
-    /// The right to one more connection; the one that is longest idle is closed for it if need be.
+    /// Finds a permit for a new connection. If none is free, the longest idle connection of all pools is
+    /// taken out of its pool, to be closed for its permit.
     fn new_connection_source(
         &self,
         upstreams: &mut HashMap<UpstreamId, Upstream>,
@@ -198,7 +208,8 @@
         Some(ConnectionSource::ReplaceIdle(Box::new(oldest)))
     }
 
-    /// The connection of a source, opened by `until` if it is not open.
+    /// Returns the pooled connection of a source, or opens a new one by `until` and within the connect
+    /// timeout.
     pub(super) async fn connect(
         &self,
         source: ConnectionSource,
@@ -217,13 +228,16 @@
         Ok(opened.inspect_err(|error| warn!("upstream {}: {error}", upstream_info.host))?)
     }
 
-    /// What is known of an upstream now.
+    /// The current information about an upstream. `None` if it is unknown or has been removed.
     pub(super) fn upstream_info(&self, id: UpstreamId) -> Option<UpstreamInfo> {
         self.state().upstreams.get(&id).map(|upstream| upstream.info.clone())
     }
 
-    /// Keeps a connection for the next, once it can take one. Bytes that the upstream sends before that close it;
-    /// what it sends later is seen before the next request's first byte.
+    /// Waits until a connection is ready for another request and returns it to its pool.
+    ///
+    /// The connection is closed instead if it does not become ready in time, if the upstream sends bytes
+    /// before that, or if the upstream has restarted, stopped serving or been removed. Bytes that arrive
+    /// later are detected before the first byte of the next request is written.
     pub(super) async fn return_to_pool(&self, id: UpstreamId, incarnation: u64, connection: Connection) {
         let Some(connection) = connection.wait_until_ready().await else { return };
         let mut state = self.state();
--- a/crates/node/src/transports/http1/write_policy.rs
+++ b/crates/node/src/transports/http1/write_policy.rs
@@ -1,4 +1,5 @@
-//! Whether an attempt may be written, by what holds at the moment of each write.
+//! The write policy of attempts. It is evaluated at each write, against the state of the system at that
+//! moment.
 
 use std::sync::Arc;
 
@@ -8,7 +9,8 @@
 use super::transport::Shared;
 use crate::engine::{Attempt, AttemptInfo, IdempotencyWindow, Interest, UpstreamInfo, ZoneCheck};
 
-/// Whether an attempt may be written. Asked before it takes the connection, and again at the writes themselves.
+/// Decides whether an attempt may be written. It is checked before the exchange begins, and again at each
+/// write.
 pub(super) struct AttemptWritePolicy {
     shared: Arc<Shared>,
     info: AttemptInfo,
@@ -20,6 +22,7 @@
 }
 
 impl AttemptWritePolicy {
+    /// The policy of an attempt to an upstream, as known when the connection was chosen.
     pub(super) fn new(
         shared: &Arc<Shared>,
         attempt: &Attempt,
@@ -35,7 +38,8 @@
         }
     }
 
-    /// Whether it may begin, as far as nothing has to be noted for that.
+    /// Checks everything that the first write requires without side effects. In particular, this does not
+    /// open the idempotency window.
     pub(super) fn check_preconditions(&self) -> Result<(), WriteDenied> {
         if !self.interest.is_wanted() {
             return Err(WriteDenied::AnswerNotWanted);
@@ -49,7 +53,8 @@
         if current.incarnation != self.upstream_info.incarnation || !current.serving {
             return Err(WriteDenied::NotServing);
         }
-        // A list may have moved the name to another zone: neither where it was nor where it is may be outside.
+        // A discovery update may have moved the server to another zone. Both the zone at the time of the
+        // choice and the current zone must be allowed.
         let is_allowed = |upstream_info: &UpstreamInfo| {
             self.zone_check.as_ref().is_none_or(|check| check.allows(upstream_info))
         };
@@ -59,7 +64,7 @@
         self.check_idempotency_window()
     }
 
-    /// Whether the window of its key, if it has one, is open.
+    /// Checks that the idempotency window of the attempt, if it has one, is still open.
     fn check_idempotency_window(&self) -> Result<(), WriteDenied> {
         let Some(window) = &self.idempotency_window else { return Ok(()) };
         window
@@ -67,8 +72,8 @@
             .map_err(|_| WriteDenied::IdempotencyWindowClosed)
     }
 
-    /// Whether its client is there now. Asked last, after the clock was read: the process may have been held up there
-    /// while the client left.
+    /// Checks that the client is still connected. This comes last, after the clock is read: the process may
+    /// stall between the two, and the client may leave meanwhile.
     fn check_client_connected(&self) -> Result<(), WriteDenied> {
         if self.interest.is_wanted_now() { Ok(()) } else { Err(WriteDenied::AnswerNotWanted) }
     }
--- a/crates/node/src/transports/mod.rs
+++ b/crates/node/src/transports/mod.rs
@@ -1,3 +1,4 @@
-//! How upstreams are asked. Each protocol implements [`crate::engine::Transport`].
+//! Transports, which send attempts and probes to upstreams. Each protocol has a module that implements
+//! [`crate::engine::Transport`].
 
 pub mod http1;
