--- a/crates/node/src/transports/http1/tests/answers.rs
+++ b/crates/node/src/transports/http1/tests/answers.rs
@@ -1,4 +1,4 @@
-//! Answers that end in every way, and requests that are cut.
+//! Answers that end in different ways, and requests that are only partly written.
 
 use hyper::header::{HeaderName, HeaderValue};
 use sagemast::api::Outcome;
@@ -12,7 +12,7 @@
 };
 use crate::transports::http1::probe::AlwaysAllow;
 
-/// How an upstream ends a connection after what it sent.
+/// What an upstream does with a connection after sending its bytes.
 #[derive(Debug, Clone, Copy)]
 enum ConnectionEnd {
     KeptOpen,
@@ -21,7 +21,7 @@
 }
 
 impl ConnectionEnd {
-    /// Ends a connection so; what stays open of it.
+    /// Applies this to a connection. Returns the connection if it stays open.
     fn apply_to(self, stream: TcpStream) -> Option<TcpStream> {
         match self {
             ConnectionEnd::KeptOpen => return Some(stream),
@@ -32,7 +32,8 @@
     }
 }
 
-/// The outcome of an attempt whose whole request was read, with this for an answer.
+/// The outcome and body of an attempt whose upstream reads the complete request, sends `bytes` and ends as
+/// `ending` says.
 async fn outcome_of(bytes: &[u8], ending: ConnectionEnd) -> (Outcome, Option<Bytes>) {
     let (transport, mut events, listener) = transport_with_upstream(settings()).await;
     let (mut attempt, _handles) = attempt();
@@ -49,7 +50,7 @@
 }
 
 #[tokio::test]
-async fn whole_answers_are_taken() {
+async fn complete_answers_are_returned() {
     let answers: [(&[u8], ConnectionEnd); 4] = [
         (OK_FIRST, ConnectionEnd::KeptOpen),
         (b"HTTP/1.1 200 OK\r\n\r\nfirst", ConnectionEnd::Closed),
@@ -71,13 +72,13 @@
 }
 
 #[tokio::test]
-async fn cut_answers_are_resets() {
+async fn truncated_answers_are_resets() {
     let answers: [(&[u8], ConnectionEnd); 9] = [
         (b"", ConnectionEnd::Closed),
         (b"", ConnectionEnd::Reset),
         (b"HTTP/1.1 2", ConnectionEnd::Closed),
         (b"HTTP/1.1 100 Continue\r\n\r\n", ConnectionEnd::Closed),
-        // With no length, a close is the end and a reset is none.
+        // A body without a length ends with a close. A reset leaves it incomplete.
         (b"HTTP/1.1 200 OK\r\n\r\nfirst", ConnectionEnd::Reset),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nfirst", ConnectionEnd::Closed),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nfirst", ConnectionEnd::Reset),
@@ -91,7 +92,7 @@
 }
 
 #[tokio::test]
-async fn answers_without_an_end_are_given_up_in_time() {
+async fn unfinished_answers_time_out() {
     let answers: [&[u8]; 5] = [
         b"",
         b"HTTP/1.1 100 Continue\r\n\r\n",
@@ -106,13 +107,13 @@
 }
 
 #[tokio::test]
-async fn an_answer_that_is_too_long_is_an_error() {
+async fn too_long_an_answer_is_an_error() {
     let mut bytes = b"HTTP/1.1 200 OK\r\n\r\n".to_vec();
     bytes.resize(bytes.len() + MAX_BODY_BYTES + 1, b'x');
     assert_eq!(outcome_of(&bytes, ConnectionEnd::KeptOpen).await, (Outcome::Error, None));
 }
 
-/// The outcome of an attempt whose request cannot be written whole, when the upstream sends this.
+/// The outcome of an attempt whose request cannot be completely written before the upstream sends `bytes`.
 async fn early_outcome_of(bytes: &[u8], ending: ConnectionEnd) -> Outcome {
     let (transport, mut events, listener) = transport_with_upstream(settings()).await;
     let (attempt, _handles) = huge_attempt();
@@ -129,9 +130,10 @@
     outcome
 }
 
-/// No server begins a request before its last byte: what comes earlier is no answer to it.
+/// No server executes a request before its last byte has arrived, so bytes that come earlier are not its
+/// answer.
 #[tokio::test]
-async fn an_answer_before_the_last_byte_of_the_request_serves_nobody() {
+async fn an_answer_before_the_last_byte_of_the_request_is_discarded() {
     let full = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
     assert_eq!(early_outcome_of(OK_FIRST, ConnectionEnd::KeptOpen).await, Outcome::Unreachable);
     assert_eq!(early_outcome_of(full, ConnectionEnd::KeptOpen).await, Outcome::Full);
@@ -142,9 +144,9 @@
     );
 }
 
-/// Given up while its body is being written: the rest of it is never written.
+/// The attempt is cancelled while its body is being written. The rest of the body is never written.
 #[tokio::test]
-async fn an_attempt_that_is_given_up_is_closed_before_its_end_is_told() {
+async fn a_cancelled_attempt_closes_its_connection_before_its_end_is_reported() {
     let (transport, mut events, listener) = transport_with_upstream(settings()).await;
     let (attempt, mut handles) = huge_attempt();
     transport.attempt(attempt);
@@ -155,9 +157,10 @@
     assert!(bytes_until_closed(&mut stream).await < HUGE_BODY);
 }
 
-/// What tells whether a request was written whole must be what hyper writes.
+/// The transport uses this size to decide whether a request was completely written, so it must match what
+/// hyper writes.
 #[tokio::test]
-async fn the_size_of_a_request_is_what_is_written() {
+async fn the_encoded_request_size_equals_the_bytes_written() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let dial = listener.local_addr().expect("an address");
     let until = Instant::now() + Duration::from_secs(10);
@@ -194,11 +197,12 @@
     }
 }
 
-/// What is told must be less than what is left to the client by what a hold-up before the write leaves of the slack.
+/// The advertised time is shorter than what the client has left by the part of the allowance that a stall
+/// before the write leaves.
 #[test]
-fn an_upstream_is_told_less_than_is_left() {
-    let expected_timeouts = [(0, 1), (1, 1), (8, 7), (80, 70), (96, 84), (480, 468), (6_000, 5_988)];
-    for (left, expected) in expected_timeouts {
+fn the_advertised_timeout_is_less_than_the_remaining_time() {
+    let cases = [(0, 1), (1, 1), (8, 7), (80, 70), (96, 84), (480, 468), (6_000, 5_988)];
+    for (left, expected) in cases {
         assert_eq!(advertised_timeout_ms(Duration::from_millis(left)), expected, "{left} ms left");
     }
 }
--- a/crates/node/src/transports/http1/tests/before_the_first_byte.rs
+++ b/crates/node/src/transports/http1/tests/before_the_first_byte.rs
@@ -1,4 +1,4 @@
-//! What may change between the choice of an upstream and the first byte to it.
+//! Changes between the choice of an upstream and the first byte written to it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use crate::engine::{ClientConnection, ConnectionCounts, ZoneCheck, ZonePolicy};
 
 #[tokio::test]
-async fn an_attempt_for_nobody_ends_once_and_was_not_sent() {
+async fn an_attempt_to_an_unknown_upstream_ends_once_as_not_sent() {
     let (transport, mut events) = transport_with(settings());
     let (attempt, _handles) = attempt();
     transport.attempt(attempt);
@@ -20,14 +20,14 @@
     assert!(events.is_closed().await, "there is one end");
 }
 
-/// What was decided while a connection came up is heeded once it is up: nothing is written.
+/// If the request ends or the upstream changes while a connection is being opened, nothing is written to it.
 #[tokio::test]
-async fn nothing_is_written_for_what_ended_while_it_connected() {
+async fn nothing_is_written_if_the_attempt_became_invalid_while_connecting() {
     for why in ["answered", "given up", "client left", "drained", "restarted", "gone"] {
         let (transport, mut events, listener) = transport_with_upstream(settings()).await;
         let dial = listener.local_addr().expect("an address");
         let (attempt, mut handles) = attempt();
-        // Its task runs when this one waits: by then all of this has happened.
+        // The attempt's task runs only once this one waits, so it sees the change below.
         transport.attempt(attempt);
         match why {
             "answered" => handles.answer_owed = None,
@@ -44,7 +44,7 @@
             _ => Outcome::Unreachable,
         };
         assert_eq!(events.next_end().await, (RequestId(2), expected), "{why}");
-        // A connection that came up is closed without a byte.
+        // A connection that was established is closed without a byte written.
         transport.remove_upstream(UPSTREAM);
         if why != "given up" {
             let mut stream = accept(&listener).await;
@@ -53,7 +53,7 @@
     }
 }
 
-/// Lets requests go to one zone.
+/// A policy that allows requests to one zone only.
 struct SingleZonePolicy(&'static str);
 
 impl ZonePolicy for SingleZonePolicy {
@@ -62,10 +62,11 @@
     }
 }
 
-/// A list that moves a name to another zone while an attempt connects: not a byte leaves.
+/// Guards against sending a request to a forbidden zone, also when a discovery update moves the server to
+/// another zone while the attempt connects.
 #[tokio::test]
-async fn nothing_is_written_outside_the_regions_of_a_request() {
-    for (allowed_zone, moves) in [("z2", false), ("z1", true)] {
+async fn nothing_is_written_outside_the_allowed_regions() {
+    for (allowed_zone, zone_changes) in [("z2", false), ("z1", true)] {
         let (transport, mut events, listener) = transport_with_upstream(settings()).await;
         let dial = listener.local_addr().expect("an address");
         let (mut attempt, _handles) = attempt();
@@ -75,7 +76,7 @@
             tenant: TenantId(0),
         });
         transport.attempt(attempt);
-        if moves {
+        if zone_changes {
             transport.update_upstream(
                 UPSTREAM,
                 UpstreamInfo { zone: Some("z2".into()), ..upstream_info(dial, 0) },
@@ -89,19 +90,19 @@
 }
 
 #[tokio::test]
-async fn out_of_connections_an_attempt_was_not_sent() {
+async fn an_attempt_without_a_free_permit_is_not_sent() {
     let (transport, mut events) = transport_with(Settings { max_connections: 0, ..settings() });
     transport.update_upstream(UPSTREAM, upstream_info(SocketAddr::from(([127, 0, 0, 1], 9)), 0));
     let (attempt, _handles) = attempt();
     transport.attempt(attempt);
     assert_eq!(events.next_end().await, (RequestId(2), Outcome::NotSent));
     assert_eq!(transport.take_counts(), ConnectionCounts { no_descriptor: 1, ..ConnectionCounts::default() });
-    assert_eq!(transport.take_counts(), ConnectionCounts::default(), "they are told once");
+    assert_eq!(transport.take_counts(), ConnectionCounts::default(), "counts are returned once");
 }
 
-/// A client that the engine has not heard of yet: no connection is opened for it.
+/// The client has left, and the engine has not learnt of it yet. No connection is opened.
 #[tokio::test]
-async fn nothing_is_opened_for_a_client_that_has_gone() {
+async fn no_connection_is_opened_for_a_client_that_has_left() {
     let (transport, mut events, listener) = transport_with_upstream(settings()).await;
     let (attempt, mut handles) = attempt();
     handles.client = None;
@@ -110,9 +111,10 @@
     assert!(!is_connected_to(listener));
 }
 
-/// A client leaves, and the upstream drains, while an attempt holds a pooled connection that has been closed.
+/// The client leaves, or the upstream starts draining, while an attempt holds a pooled connection that the
+/// upstream has closed.
 #[tokio::test]
-async fn a_stale_connection_is_not_replaced_for_nobody() {
+async fn a_stale_connection_is_not_replaced_for_an_invalid_attempt() {
     for why in ["client left", "drained"] {
         let (transport, mut events, listener) = transport_with_upstream(settings()).await;
         let dial = listener.local_addr().expect("an address");
@@ -136,8 +138,8 @@
     }
 }
 
-/// A client whose connection may be closed while its task still waits: the process was held up, and no event of the
-/// close has been taken in.
+/// A client whose connection may be closed while its task still waits. This happens when the process stalls
+/// and has not processed the event of the close yet.
 struct FakeClientConnection {
     is_closed: AtomicBool,
 }
@@ -148,8 +150,9 @@
     }
 }
 
-/// An attempt for a client whose connection is closed, or may yet be.
-fn for_client(
+/// Replaces the client of an attempt by one whose connection the test can close. `is_closed` is its initial
+/// state.
+fn with_client(
     (mut attempt, handles): (Attempt, AttemptHandles),
     is_closed: bool,
 ) -> (Attempt, AttemptHandles, Arc<FakeClientConnection>) {
@@ -161,9 +164,9 @@
 }
 
 #[tokio::test]
-async fn nothing_is_written_over_a_new_connection_for_a_client_that_closed_during_a_hold_up() {
+async fn nothing_is_written_over_a_new_connection_if_the_client_closed_during_a_stall() {
     let (transport, mut events, listener) = transport_with_upstream(settings()).await;
-    let (attempt, _handles, _client) = for_client(attempt(), true);
+    let (attempt, _handles, _client) = with_client(attempt(), true);
     transport.attempt(attempt);
     let mut stream = accept(&listener).await;
     assert_eq!(events.next_end().await, (RequestId(2), Outcome::NotSent));
@@ -171,19 +174,19 @@
 }
 
 #[tokio::test]
-async fn nothing_is_written_over_an_idle_connection_for_a_client_that_closed_during_a_hold_up() {
+async fn nothing_is_written_over_an_idle_connection_if_the_client_closed_during_a_stall() {
     let (transport, mut events, listener) = transport_with_upstream(settings()).await;
     let mut stream = pooled_connection(&transport, &mut events, &listener).await;
-    let (attempt, _handles, _client) = for_client(attempt(), true);
+    let (attempt, _handles, _client) = with_client(attempt(), true);
     transport.attempt(attempt);
     assert_eq!(events.next_answer().await.0, Outcome::NotSent);
     assert_eq!(bytes_until_closed(&mut stream).await, 0);
 }
 
 #[tokio::test]
-async fn the_rest_of_a_request_is_not_written_for_a_client_that_closed_during_a_hold_up() {
+async fn the_rest_of_a_request_is_not_written_if_the_client_closed_during_a_stall() {
     let (transport, mut events, listener) = transport_with_upstream(settings()).await;
-    let (attempt, _handles, client) = for_client(huge_attempt(), false);
+    let (attempt, _handles, client) = with_client(huge_attempt(), false);
     transport.attempt(attempt);
     let mut stream = accept(&listener).await;
     read_head(&mut stream).await;
--- a/crates/node/src/transports/http1/tests/connections.rs
+++ b/crates/node/src/transports/http1/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Connections that come up late or never, and what their sockets and permits do.
+//! Connections that are established late or never, and the lifetime of their sockets and permits.
 
 use std::net::{Ipv4Addr, TcpStream as BlockingStream};
 
@@ -9,7 +9,7 @@
 use super::*;
 use crate::transports::http1::connection::Connection;
 
-/// An upstream to which no connection comes up, since its backlog is full.
+/// An upstream to which no connection can be established, since the backlog of its listener is full.
 pub(super) struct UnresponsiveUpstream {
     pub(super) address: SocketAddr,
     _listener: Socket,
@@ -33,7 +33,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_that_never_comes_up_ends_its_attempt_and_returns_its_permit() {
+async fn a_connect_timeout_ends_the_attempt_and_returns_the_permit() {
     let (transport, mut events) =
         transport_with(Settings { connect_timeout: Duration::from_millis(100), ..settings() });
     let unresponsive = UnresponsiveUpstream::new();
@@ -45,7 +45,7 @@
 }
 
 #[tokio::test]
-async fn an_attempt_given_up_while_it_connects_ends_and_returns_its_permit() {
+async fn cancelling_an_attempt_while_it_connects_returns_the_permit() {
     let (transport, mut events) = transport_with(settings());
     let unresponsive = UnresponsiveUpstream::new();
     transport.update_upstream(UPSTREAM, upstream_info(unresponsive.address, 0));
@@ -58,9 +58,9 @@
     assert_eq!(transport.shared.permits.available_permits(), 2);
 }
 
-/// A connection that is up when its attempt is over serves the next one.
+/// A connection that is established after its attempt has ended serves the next attempt.
 #[tokio::test]
-async fn a_late_connection_goes_to_the_pool() {
+async fn a_connection_established_too_late_goes_to_the_pool() {
     let (transport, mut events, listener) = transport_with_upstream(settings()).await;
     let (attempt, mut handles) = attempt();
     transport.attempt(attempt);
@@ -76,9 +76,9 @@
     assert_eq!(transport.take_counts().reused, 1);
 }
 
-/// A dropped connection keeps its permit until its socket is closed.
+/// A dropped connection holds its permit until its socket is closed.
 #[tokio::test]
-async fn a_permit_returns_after_its_socket_is_closed() {
+async fn a_permit_is_returned_after_its_socket_is_closed() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let permits = Arc::new(Semaphore::new(1));
@@ -94,9 +94,9 @@
     assert_eq!(read.ok(), Some(0), "its socket is closed");
 }
 
-/// With no permit left an idle connection to another upstream is closed, and its permit serves.
+/// Without a free permit, an idle connection to another upstream is closed and its permit is used.
 #[tokio::test]
-async fn an_idle_connection_gives_way_to_a_new_one() {
+async fn an_idle_connection_is_closed_for_a_new_one_without_free_permits() {
     let (transport, mut events, listener) =
         transport_with_upstream(Settings { max_connections: 1, ..settings() }).await;
     let mut idle = pooled_connection(&transport, &mut events, &listener).await;
--- a/crates/node/src/transports/http1/tests/idempotency_window.rs
+++ b/crates/node/src/transports/http1/tests/idempotency_window.rs
@@ -1,4 +1,4 @@
-//! Attempts of a request whose repeats are discarded by key for a time.
+//! Attempts of a request whose repeats upstreams discard by idempotency key for a limited time.
 
 use sagemast::api::Outcome;
 
@@ -8,16 +8,17 @@
 const WINDOW: Duration = Duration::from_millis(200);
 const OTHER_ATTEMPT: AttemptNo = AttemptNo(1);
 
-/// The window closes after the attempt began to connect: nothing is written once it is connected.
+/// The window closes after the attempt has started to connect. Nothing is written once the connection is
+/// established.
 #[tokio::test]
-async fn nothing_is_written_once_the_window_closed_while_it_connected() {
+async fn nothing_is_written_if_the_window_closed_while_connecting() {
     let (transport, mut events, listener) = transport_with_upstream(settings()).await;
     let window = Arc::new(IdempotencyWindow::new(WINDOW));
     let (mut attempt, _handles) = attempt();
     attempt.idempotency_window = Some(window.clone());
     let long_ago = Instant::now() - WINDOW;
     transport.attempt(attempt);
-    // It connects while no other attempt binds it.
+    // The attempt starts to connect while no other attempt has opened the window.
     tokio::task::yield_now().await;
     window.begin_write(OTHER_ATTEMPT, long_ago).expect("the first to begin");
     assert_eq!(events.next_answer().await.0, Outcome::NotSent);
@@ -25,9 +26,9 @@
     assert_eq!(bytes_until_closed(&mut accept(&listener).await).await, 0);
 }
 
-/// Connecting takes no longer than the window.
+/// An attempt stops connecting when its window closes.
 #[tokio::test]
-async fn an_attempt_connects_within_the_window() {
+async fn connecting_ends_when_the_window_closes() {
     let (transport, mut events) = transport_with(settings());
     let unresponsive = super::connections::UnresponsiveUpstream::new();
     transport.update_upstream(UPSTREAM, upstream_info(unresponsive.address, 0));
@@ -39,9 +40,9 @@
     assert_eq!(events.next_answer().await.0, Outcome::NotSent);
 }
 
-/// A write that blocks while the window closes: the rest of the request is never written.
+/// The window closes while a write is blocked. The rest of the request is never written.
 #[tokio::test]
-async fn a_request_is_written_whole_within_the_window_or_not_at_all() {
+async fn an_incomplete_request_is_aborted_when_the_window_closes() {
     let (transport, mut events, listener) = transport_with_upstream(settings()).await;
     let window = Arc::new(IdempotencyWindow::new(WINDOW));
     window.begin_write(OTHER_ATTEMPT, Instant::now()).expect("the first to begin");
@@ -53,9 +54,9 @@
     assert!(bytes_until_closed(&mut stream).await < HUGE_BODY);
 }
 
-/// An attempt opens the window for the others as its first byte is written.
+/// The window of the other attempts opens when the first byte of one attempt is written.
 #[tokio::test]
-async fn a_written_attempt_binds_the_others() {
+async fn the_first_write_opens_the_window_for_other_attempts() {
     let (transport, mut events, listener) = transport_with_upstream(settings()).await;
     let window = Arc::new(IdempotencyWindow::new(WINDOW));
     let (mut attempt, _handles) = attempt();
--- a/crates/node/src/transports/http1/tests/local_failures.rs
+++ b/crates/node/src/transports/http1/tests/local_failures.rs
@@ -1,10 +1,10 @@
-//! Connections that this machine cannot open: nothing of it is the upstream's doing.
+//! Connections that cannot be opened for a reason on this machine, which the upstream is not blamed for.
 
 use sagemast::api::Outcome;
 
 use super::*;
 
-/// An address that the kernel refuses to connect to by itself, with `ENETUNREACH`.
+/// An address to which the kernel itself refuses to connect, with `ENETUNREACH`.
 const UNROUTABLE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::BROADCAST), 9);
 
 /// Lets the tasks of the transport run for a moment.
@@ -15,18 +15,18 @@
 }
 
 #[tokio::test]
-async fn a_failure_of_this_machine_is_not_held_against_the_upstream() {
+async fn a_local_failure_is_not_attributed_to_the_upstream() {
     let (transport, mut events) = transport_with(settings());
     transport.update_upstream(UPSTREAM, upstream_info(UNROUTABLE, 0));
     let (attempt, _handles) = attempt();
     transport.attempt(attempt);
     assert_eq!(events.next_answer().await.0, Outcome::LocalFailure);
     assert_eq!(transport.shared.permits.available_permits(), 2);
-    assert!(transport.take_counts().opened > 1, "it was tried more than once");
+    assert!(transport.take_counts().opened > 1, "connecting was retried");
 }
 
 #[tokio::test]
-async fn a_refused_connection_is_held_against_the_upstream_at_once() {
+async fn a_refused_connection_is_attributed_to_the_upstream_without_retries() {
     let (transport, mut events, listener) = transport_with_upstream(settings()).await;
     drop(listener);
     let (attempt, _handles) = attempt();
@@ -36,7 +36,7 @@
 }
 
 #[tokio::test]
-async fn a_request_is_sent_once_this_machine_can_connect_again() {
+async fn a_request_is_sent_once_a_local_failure_is_over() {
     let (transport, mut events) = transport_with(settings());
     transport.update_upstream(UPSTREAM, upstream_info(UNROUTABLE, 0));
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -52,7 +52,7 @@
 }
 
 #[tokio::test]
-async fn an_attempt_given_up_between_two_tries_is_not_sent() {
+async fn an_attempt_cancelled_between_connect_retries_is_not_sent() {
     let (transport, mut events) = transport_with(settings());
     transport.update_upstream(UPSTREAM, upstream_info(UNROUTABLE, 0));
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -67,7 +67,7 @@
 }
 
 #[tokio::test]
-async fn a_probe_is_made_once_this_machine_can_connect_again() {
+async fn a_probe_is_sent_once_a_local_failure_is_over() {
     let (transport, mut events) = transport_with(settings());
     transport.update_upstream(UPSTREAM, upstream_info(UNROUTABLE, 0));
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
--- a/crates/node/src/transports/http1/tests/mod.rs
+++ b/crates/node/src/transports/http1/tests/mod.rs
@@ -1,4 +1,4 @@
-//! The transport against upstreams on loopback that do what a test tells them.
+//! Tests of the transport against upstreams on loopback whose every step the test controls.
 
 mod answers;
 mod before_the_first_byte;
@@ -30,7 +30,7 @@
 use crate::socket::{Kernel, SystemCalls};
 
 const UPSTREAM: UpstreamId = UpstreamId(7);
-/// More than the kernel holds for a connection that is not read from.
+/// More bytes than the kernel buffers for a connection from which nobody reads.
 const HUGE_BODY: usize = 64 << 20;
 const OK_FIRST: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst";
 const OK_SECOND: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond";
@@ -44,12 +44,12 @@
     }
 }
 
-/// The system calls of the kernel.
+/// The real system calls.
 fn kernel() -> Arc<dyn SystemCalls> {
     Arc::new(Kernel)
 }
 
-/// A transport, and what it tells.
+/// Creates a transport and the receiver of the events that it reports.
 fn transport_with(settings: Settings) -> (Http1, TestEvents) {
     let channels = EngineChannels::new(RequestNames { classes: Vec::new(), tenants: Vec::new() });
     (Http1::new(settings, kernel(), channels.transport_events), channels.inbox.into_test_events())
@@ -59,7 +59,7 @@
     UpstreamInfo { host: "a".into(), dial, incarnation, zone: Some("z1".into()), serving: true }
 }
 
-/// A transport that knows one upstream, whose listener it is.
+/// Creates a transport with one upstream, and the upstream's listener.
 async fn transport_with_upstream(settings: Settings) -> (Http1, TestEvents, TcpListener) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let (transport, events) = transport_with(settings);
@@ -67,13 +67,17 @@
     (transport, events, listener)
 }
 
-/// What keeps an attempt wanted.
+/// Handles that keep an attempt wanted until they are dropped.
 struct AttemptHandles {
+    /// Cancels the attempt when dropped.
     cancel: Option<oneshot::Sender<()>>,
+    /// Alive until the request has its final answer.
     answer_owed: Option<Arc<()>>,
+    /// Alive while the client waits.
     client: Option<Arc<()>>,
 }
 
+/// Creates an attempt with this method and body, and the handles that keep it wanted.
 fn attempt_with(method: Method, body: Bytes) -> (Attempt, AttemptHandles) {
     let forward =
         ForwardedRequest { method, target: Uri::from_static("/fetch"), headers: HeaderMap::new(), body };
@@ -101,23 +105,23 @@
     (attempt, handles)
 }
 
-/// An attempt with no body.
+/// Creates an attempt without a body.
 fn attempt() -> (Attempt, AttemptHandles) {
     attempt_with(Method::GET, Bytes::new())
 }
 
-/// An attempt whose body does not fit into a connection that is not read from.
+/// Creates an attempt whose body exceeds what the kernel buffers, so that its write blocks until it is read.
 fn huge_attempt() -> (Attempt, AttemptHandles) {
     attempt_with(Method::POST, Bytes::from(vec![b'x'; HUGE_BODY]))
 }
 
-/// The next connection of the transport.
+/// Accepts the next connection from the transport.
 async fn accept(listener: &TcpListener) -> TcpStream {
     let accepted = timeout(Duration::from_secs(10), listener.accept()).await;
     accepted.expect("a connection in time").expect("a connection").0
 }
 
-/// Whether a connection waits to be accepted.
+/// Whether a connection is waiting to be accepted.
 fn is_connected_to(listener: TcpListener) -> bool {
     listener.into_std().expect("a listener").accept().is_ok()
 }
@@ -140,7 +144,7 @@
     SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("an option");
 }
 
-/// How many further bytes come until the transport closes the connection.
+/// Reads until the transport closes the connection, and returns the number of bytes read.
 async fn bytes_until_closed(stream: &mut TcpStream) -> usize {
     let (mut bytes, mut total) = (vec![0; 64 << 10], 0);
     loop {
@@ -153,7 +157,7 @@
     }
 }
 
-/// Waits until the transport keeps so many idle connections.
+/// Waits until the transport has `count` idle connections.
 async fn until_idle(transport: &Http1, count: usize) {
     for _ in 0..10_000 {
         if transport.idle_connections() == count {
@@ -164,7 +168,7 @@
     panic!("{} connections are idle", transport.idle_connections());
 }
 
-/// Serves one request, after which the transport keeps the connection.
+/// Serves one request, and returns the upstream's end of the connection once the transport has pooled it.
 async fn pooled_connection(transport: &Http1, events: &mut TestEvents, listener: &TcpListener) -> TcpStream {
     let (attempt, _handles) = attempt();
     transport.attempt(attempt);
