--- a/crates/node/src/transports/http1/attempt.rs
+++ b/crates/node/src/transports/http1/attempt.rs
@@ -28,8 +28,8 @@
     Reported,
     /// The attempt ended, and its end has yet to be reported.
     Ended(AttemptEnd),
-    /// The upstream had closed the pooled connection, and no byte of the request was written. Another
-    /// connection may be used.
+    /// The upstream had closed the pooled connection or sent unexpected bytes on it, and no byte of the
+    /// request was written. Another connection may be used.
     StaleConnection,
     /// No connection could be opened, for a reason that lies on this machine. Connecting may be retried.
     LocalFailure(AcquireError),
--- a/crates/node/src/transports/http1/connect_retries.rs
+++ b/crates/node/src/transports/http1/connect_retries.rs
@@ -21,8 +21,9 @@
 }
 
 impl ConnectRetries {
-    /// The retries of an attempt or probe that begins now and must end by `until`. They use at most half of its
-    /// time. If a connection opened after them is not established by `until`, that is not for lack of time.
+    /// The retries of an attempt or probe that begins now and must end by `until`. They use at most half of
+    /// its time. If a connection opened after them is not established by `until`, that is not for lack of
+    /// time.
     pub fn new(until: Instant) -> ConnectRetries {
         let now = Instant::now();
         ConnectRetries {
--- a/crates/node/src/transports/http1/probe.rs
+++ b/crates/node/src/transports/http1/probe.rs
@@ -87,8 +87,8 @@
     Answered,
     /// The probe got no answer.
     Failed,
-    /// The upstream had closed the pooled connection, and nothing was written. Another connection may be
-    /// used.
+    /// The upstream had closed the pooled connection or sent unexpected bytes on it, and nothing was written.
+    /// Another connection may be used.
     StaleConnection,
     /// No connection could be opened, for a reason that lies on this machine. Connecting may be retried.
     LocalFailure,
