--- a/crates/node/src/transports/http1/tests/before_the_first_byte.rs
+++ b/crates/node/src/transports/http1/tests/before_the_first_byte.rs
@@ -23,7 +23,7 @@
 /// If the request ends or the upstream changes while a connection is being opened, nothing is written to it.
 #[tokio::test]
 async fn nothing_is_written_if_the_attempt_became_invalid_while_connecting() {
-    for why in ["answered", "given up", "client left", "drained", "restarted", "gone"] {
+    for why in ["answered", "cancelled", "client left", "drained", "restarted", "removed"] {
         let (transport, mut events, listener) = transport_with_upstream(settings()).await;
         let dial = listener.local_addr().expect("an address");
         let (attempt, mut handles) = attempt();
@@ -31,7 +31,7 @@
         transport.attempt(attempt);
         match why {
             "answered" => handles.answer_owed = None,
-            "given up" => handles.cancel = None,
+            "cancelled" => handles.cancel = None,
             "client left" => handles.client = None,
             "drained" => {
                 transport.update_upstream(UPSTREAM, UpstreamInfo { serving: false, ..upstream_info(dial, 0) })
@@ -40,13 +40,13 @@
             _ => transport.remove_upstream(UPSTREAM),
         }
         let expected = match why {
-            "answered" | "given up" | "client left" => Outcome::NotSent,
+            "answered" | "cancelled" | "client left" => Outcome::NotSent,
             _ => Outcome::Unreachable,
         };
         assert_eq!(events.next_end().await, (RequestId(2), expected), "{why}");
         // A connection that was established is closed without a byte written.
         transport.remove_upstream(UPSTREAM);
-        if why != "given up" {
+        if why != "cancelled" {
             let mut stream = accept(&listener).await;
             assert_eq!(stream.read(&mut [0]).await.ok(), Some(0), "{why}");
         }
