--- a/crates/node/src/transports/http1/mod.rs
+++ b/crates/node/src/transports/http1/mod.rs
@@ -1,15 +1,18 @@
-//! HTTP/1.1 to upstreams: one exchange at a time on a connection, and idle ones kept for the next.
+//! The HTTP/1.1 transport to upstreams.
+//!
+//! A connection carries one exchange (a request and its answer) at a time. Idle connections are pooled per
+//! upstream and reused for later exchanges.
 
 mod attempt;
+mod connect_retries;
 mod connection;
 mod exchange;
-mod local_failure;
 mod pool;
 mod probe;
-mod rules;
 mod settings;
 mod stream;
 mod transport;
+mod write_policy;
 
 #[cfg(test)]
 mod tests;
--- a/crates/node/src/transports/http1/stream.rs
+++ b/crates/node/src/transports/http1/stream.rs
@@ -1,8 +1,10 @@
-//! The stream beneath an HTTP connection. It counts the bytes written, which tells whether a request can have
-//! reached its upstream, and asks before each write whether it may still be made.
+//! The stream beneath an HTTP connection.
 //!
-//! hyper writes from a task of its own, some time after it was handed a request. Asking at the write itself leaves
-//! no gap between the decision and the first byte.
+//! It counts the bytes written, which shows whether a request can have reached its upstream. Before each
+//! write it checks the write policy of the current exchange.
+//!
+//! hyper writes from a task of its own, some time after a request is handed to it. A check at the write
+//! itself leaves no gap between the decision and the first byte.
 
 use std::io::{self, ErrorKind, IoSlice};
 use std::pin::Pin;
@@ -14,88 +16,96 @@
 
 use crate::socket::Stream;
 
-/// Why a write was not made.
+/// Why a write was denied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Withheld {
+pub enum WriteDenied {
     /// The upstream had closed or reset the connection before anything was written.
-    Closed,
-    /// The upstream had sent bytes that no request of this exchange can have caused.
+    ConnectionClosed,
+    /// The upstream had sent bytes before the request was written, so they cannot answer it.
     UnexpectedBytes,
-    /// No exchange is under way.
+    /// No exchange is in progress on the connection.
     NoExchange,
-    /// Nobody waits for the answer any more.
-    NotWanted,
-    /// The attempt's time was up.
-    TimeIsUp,
-    /// The upstream drains, is gone or was restarted.
+    /// The answer is no longer needed: the client has left, the request has been answered, or the attempt was
+    /// cancelled.
+    AnswerNotWanted,
+    /// The attempt's deadline has passed.
+    DeadlineExceeded,
+    /// The upstream is draining, was removed or has restarted.
     NotServing,
-    /// Rules of residency forbid it.
-    OutsideRegions,
-    /// Upstreams might not discard the request as a repeat any more.
-    KeyWindowClosed,
+    /// Data residency rules forbid the upstream's zone.
+    OutsideAllowedRegions,
+    /// The idempotency window has closed: upstreams might no longer discard the request as a repeat.
+    IdempotencyWindowClosed,
 }
 
-/// Decides on the writes of one exchange.
-pub trait WriteRules: Send {
-    /// Whether its first byte may be written now.
-    fn begin(&self) -> Result<(), Withheld>;
-    /// Whether a further byte may be written now.
-    fn proceed(&self) -> Result<(), Withheld>;
+/// Decides whether the bytes of one exchange may be written.
+pub trait WritePolicy: Send {
+    /// Checks whether the first byte of the request may be written now.
+    fn check_first_write(&self) -> Result<(), WriteDenied>;
+    /// Checks whether further bytes of the request may be written now.
+    fn check_next_write(&self) -> Result<(), WriteDenied>;
 }
 
-/// An exchange that is under way on a stream.
+/// An exchange that is in progress on a stream.
 struct Exchange {
-    rules: Box<dyn WriteRules>,
-    begun: bool,
+    policy: Box<dyn WritePolicy>,
+    /// Whether the first write of the exchange has been allowed.
+    started: bool,
 }
 
-/// What a stream shares with the owner of its connection; hyper owns the stream itself.
+/// The state that a stream shares with the owner of its connection. hyper owns the stream itself.
 #[derive(Default)]
 pub struct StreamState {
     written: AtomicU64,
     exchange: Mutex<Option<Exchange>>,
-    withheld: Mutex<Option<Withheld>>,
+    first_denial: Mutex<Option<WriteDenied>>,
 }
 
 impl StreamState {
-    /// Bytes that the kernel has taken so far.
+    /// The number of bytes that the kernel has accepted so far.
     pub fn written(&self) -> u64 {
         self.written.load(Ordering::Relaxed)
     }
 
-    /// Why the first write that was not made was not.
-    pub fn withheld(&self) -> Option<Withheld> {
-        *lock(&self.withheld)
+    /// The reason for the first denied write, if a write was denied.
+    pub fn first_denial(&self) -> Option<WriteDenied> {
+        *lock(&self.first_denial)
     }
 
-    /// Begins an exchange, which ends when the returned value is dropped. Nothing is written outside of one.
-    pub fn begin_exchange(self: &Arc<Self>, rules: Box<dyn WriteRules>) -> ExchangeGuard {
-        *lock(&self.exchange) = Some(Exchange { rules, begun: false });
+    /// Begins an exchange, which ends when the returned guard is dropped. Outside an exchange every write is
+    /// denied.
+    pub fn begin_exchange(self: &Arc<Self>, policy: Box<dyn WritePolicy>) -> ExchangeGuard {
+        *lock(&self.exchange) = Some(Exchange { policy, started: false });
         ExchangeGuard(self.clone())
     }
 
-    /// Decides on a write that is about to be made to this socket.
-    fn check(&self, socket: &Stream) -> io::Result<()> {
-        self.decide(socket).map_err(|reason| {
-            lock(&self.withheld).get_or_insert(reason);
-            io::Error::new(ErrorKind::ConnectionAborted, "the write was withheld")
+    /// Checks a write that is about to be made to `socket`, and records the reason if it is the first denied
+    /// one.
+    fn authorize_write(&self, socket: &Stream) -> io::Result<()> {
+        self.check_write(socket).map_err(|reason| {
+            lock(&self.first_denial).get_or_insert(reason);
+            io::Error::new(ErrorKind::ConnectionAborted, "the write policy denied the write")
         })
     }
 
-    fn decide(&self, socket: &Stream) -> Result<(), Withheld> {
+    /// Checks a write against the policy of the current exchange. The first write also requires a socket
+    /// without pending input.
+    fn check_write(&self, socket: &Stream) -> Result<(), WriteDenied> {
         let mut exchange = lock(&self.exchange);
-        let Some(Exchange { rules, begun }) = exchange.as_mut() else { return Err(Withheld::NoExchange) };
-        if *begun {
-            return rules.proceed();
+        let Some(Exchange { policy, started }) = exchange.as_mut() else {
+            return Err(WriteDenied::NoExchange);
+        };
+        if *started {
+            return policy.check_next_write();
         }
-        check_quiet(socket)?;
-        rules.begin()?;
-        *begun = true;
+        check_no_pending_input(socket)?;
+        policy.check_first_write()?;
+        *started = true;
         Ok(())
     }
 }
 
-/// Keeps an exchange open.
+/// Ends its exchange when dropped.
 pub struct ExchangeGuard(Arc<StreamState>);
 
 impl Drop for ExchangeGuard {
@@ -104,41 +114,43 @@
     }
 }
 
+/// Locks a mutex, and ignores that a thread may have panicked while it held the lock.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Checks that neither bytes nor an end wait in the socket.
+/// Checks that neither bytes nor an end of stream are pending in the socket.
 ///
-/// It reads past the runtime. A byte that it takes is missed by nobody: a connection with such a byte is closed.
-fn check_quiet(socket: &Stream) -> Result<(), Withheld> {
+/// This reads from the socket directly, without waiting for the runtime to report it readable. The byte that
+/// it may consume is not missed, since a connection with pending bytes is closed.
+fn check_no_pending_input(socket: &Stream) -> Result<(), WriteDenied> {
     match socket.receive_now(&mut [0]) {
-        Ok(0) => Err(Withheld::Closed),
-        Ok(_) => Err(Withheld::UnexpectedBytes),
+        Ok(0) => Err(WriteDenied::ConnectionClosed),
+        Ok(_) => Err(WriteDenied::UnexpectedBytes),
         Err(error) if error.kind() == ErrorKind::WouldBlock => Ok(()),
-        Err(_) => Err(Withheld::Closed),
+        Err(_) => Err(WriteDenied::ConnectionClosed),
     }
 }
 
-/// A stream that counts its writes and asks before each.
+/// A stream that counts the bytes written and checks each write against the policy of the current exchange.
 pub struct GuardedStream {
     socket: Stream,
     state: Arc<StreamState>,
 }
 
 impl GuardedStream {
-    /// Guards a socket that nothing was written to yet.
+    /// Wraps a socket to which nothing has been written yet. Returns the stream and its shared state.
     pub fn new(socket: Stream) -> (GuardedStream, Arc<StreamState>) {
         let state = Arc::new(StreamState::default());
         (GuardedStream { socket, state: state.clone() }, state)
     }
 
-    /// Makes a write if it may be made, and counts it.
+    /// Performs a write if it is allowed, and counts the bytes written.
     fn write(
         &mut self,
         write: impl FnOnce(Pin<&mut Stream>) -> Poll<io::Result<usize>>,
     ) -> Poll<io::Result<usize>> {
-        if let Err(error) = self.state.check(&self.socket) {
+        if let Err(error) = self.state.authorize_write(&self.socket) {
             return Poll::Ready(Err(error));
         }
         let result = write(Pin::new(&mut self.socket));
--- a/crates/node/src/transports/http1/tests/mod.rs
+++ b/crates/node/src/transports/http1/tests/mod.rs
@@ -1,9 +1,9 @@
-//! The transport against upstreams on loopback that do what a test tells them.
+//! Tests of the transport against upstreams on loopback whose every step the test controls.
 
 mod answers;
 mod before_the_first_byte;
 mod connections;
-mod key_window;
+mod idempotency_window;
 mod local_failures;
 mod pool;
 
@@ -30,54 +30,58 @@
 use crate::socket::{Kernel, SystemCalls};
 
 const UPSTREAM: UpstreamId = UpstreamId(7);
-/// More than the kernel holds for a connection that is not read from.
+/// More bytes than the kernel buffers for a connection from which nobody reads.
 const HUGE_BODY: usize = 64 << 20;
 const OK_FIRST: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst";
 const OK_SECOND: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond";
 
 fn settings() -> Settings {
     Settings {
-        connections: 2,
+        max_connections: 2,
         connect_timeout: Duration::from_secs(10),
-        idle_limit: Duration::from_secs(10),
+        idle_timeout: Duration::from_secs(10),
         probe_path: "/alive",
     }
 }
 
-/// The system calls of the kernel.
+/// The real system calls.
 fn kernel() -> Arc<dyn SystemCalls> {
     Arc::new(Kernel)
 }
 
-/// A transport, and what it tells.
+/// Creates a transport and the receiver of the events that it reports.
 fn transport_with(settings: Settings) -> (Http1, TestEvents) {
-    let ways = EngineChannels::new(RequestNames { classes: Vec::new(), tenants: Vec::new() });
-    (Http1::new(settings, kernel(), ways.transport_events), ways.inbox.into_test_events())
+    let channels = EngineChannels::new(RequestNames { classes: Vec::new(), tenants: Vec::new() });
+    (Http1::new(settings, kernel(), channels.transport_events), channels.inbox.into_test_events())
 }
 
-fn peer(dial: SocketAddr, incarnation: u64) -> UpstreamInfo {
+fn upstream_info(dial: SocketAddr, incarnation: u64) -> UpstreamInfo {
     UpstreamInfo { host: "a".into(), dial, incarnation, zone: Some("z1".into()), serving: true }
 }
 
-/// A transport that knows one upstream, whose listener it is.
-async fn one_upstream(settings: Settings) -> (Http1, TestEvents, TcpListener) {
+/// Creates a transport with one upstream, and the upstream's listener.
+async fn transport_with_upstream(settings: Settings) -> (Http1, TestEvents, TcpListener) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let (transport, seen) = transport_with(settings);
-    transport.update_upstream(UPSTREAM, peer(listener.local_addr().expect("an address"), 0));
-    (transport, seen, listener)
+    let (transport, events) = transport_with(settings);
+    transport.update_upstream(UPSTREAM, upstream_info(listener.local_addr().expect("an address"), 0));
+    (transport, events, listener)
 }
 
-/// What keeps an attempt wanted.
-struct Wanted {
-    give_up: Option<oneshot::Sender<()>>,
+/// Handles that keep an attempt wanted until they are dropped.
+struct AttemptHandles {
+    /// Cancels the attempt when dropped.
+    cancel: Option<oneshot::Sender<()>>,
+    /// Alive until the request has its final answer.
     answer_owed: Option<Arc<()>>,
+    /// Alive while the client waits.
     client: Option<Arc<()>>,
 }
 
-fn attempt_with(method: Method, body: Bytes) -> (Attempt, Wanted) {
+/// Creates an attempt with this method and body, and the handles that keep it wanted.
+fn attempt_with(method: Method, body: Bytes) -> (Attempt, AttemptHandles) {
     let forward =
         ForwardedRequest { method, target: Uri::from_static("/fetch"), headers: HeaderMap::new(), body };
-    let (give_up, cancelled) = oneshot::channel();
+    let (cancel, cancelled) = oneshot::channel();
     let (answer_owed, client) = (Arc::new(()), Arc::new(()));
     let info = AttemptInfo {
         request: RequestId(2),
@@ -96,27 +100,28 @@
         zone_check: None,
         reuse_limit: ReuseLimit::default(),
     };
-    let wanted = Wanted { give_up: Some(give_up), answer_owed: Some(answer_owed), client: Some(client) };
-    (attempt, wanted)
+    let handles =
+        AttemptHandles { cancel: Some(cancel), answer_owed: Some(answer_owed), client: Some(client) };
+    (attempt, handles)
 }
 
-/// An attempt with no body.
-fn attempt() -> (Attempt, Wanted) {
+/// Creates an attempt without a body.
+fn attempt() -> (Attempt, AttemptHandles) {
     attempt_with(Method::GET, Bytes::new())
 }
 
-/// An attempt whose body does not fit into a connection that is not read from.
-fn huge_attempt() -> (Attempt, Wanted) {
+/// Creates an attempt whose body exceeds what the kernel buffers, so that its write blocks until it is read.
+fn huge_attempt() -> (Attempt, AttemptHandles) {
     attempt_with(Method::POST, Bytes::from(vec![b'x'; HUGE_BODY]))
 }
 
-/// The next connection of the transport.
+/// Accepts the next connection from the transport.
 async fn accept(listener: &TcpListener) -> TcpStream {
     let accepted = timeout(Duration::from_secs(10), listener.accept()).await;
     accepted.expect("a connection in time").expect("a connection").0
 }
 
-/// Whether a connection waits to be accepted.
+/// Whether a connection is waiting to be accepted.
 fn is_connected_to(listener: TcpListener) -> bool {
     listener.into_std().expect("a listener").accept().is_ok()
 }
@@ -139,7 +144,7 @@
     SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("an option");
 }
 
-/// How many further bytes come until the transport closes the connection.
+/// Reads until the transport closes the connection, and returns the number of bytes read.
 async fn bytes_until_closed(stream: &mut TcpStream) -> usize {
     let (mut bytes, mut total) = (vec![0; 64 << 10], 0);
     loop {
@@ -152,7 +157,7 @@
     }
 }
 
-/// Waits until the transport keeps so many idle connections.
+/// Waits until the transport has `count` idle connections.
 async fn until_idle(transport: &Http1, count: usize) {
     for _ in 0..10_000 {
         if transport.idle_connections() == count {
@@ -163,14 +168,14 @@
     panic!("{} connections are idle", transport.idle_connections());
 }
 
-/// Serves one request, after which the transport keeps the connection.
-async fn pooled_connection(transport: &Http1, seen: &mut TestEvents, listener: &TcpListener) -> TcpStream {
-    let (attempt, _wanted) = attempt();
+/// Serves one request, and returns the upstream's end of the connection once the transport has pooled it.
+async fn pooled_connection(transport: &Http1, events: &mut TestEvents, listener: &TcpListener) -> TcpStream {
+    let (attempt, _handles) = attempt();
     transport.attempt(attempt);
     let mut stream = accept(listener).await;
     read_head(&mut stream).await;
     write(&mut stream, OK_FIRST).await;
-    let (_, answer) = seen.next_answer().await;
+    let (_, answer) = events.next_answer().await;
     assert_eq!(answer.expect("an answer").body, "first");
     until_idle(transport, 1).await;
     stream
