--- a/crates/peers/src/coordinator/api.rs
+++ b/crates/peers/src/coordinator/api.rs
@@ -1,101 +1,106 @@
-//! What goes into a member's part and what comes out of it.
+//! Inputs, outputs and roles of the coordinator's state machine.
 
 use super::term::Message;
 use crate::api::{Asking, Because, Entry, Fact, MemberId, Millis, Reach, ServerKey, Standing};
 
-/// What a member is in its region.
+/// The role of a member in its region.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Role {
-    /// It hears no coordinator: all is as without peers.
+    /// The member follows no coordinator and works as it would without peers.
     Unattached,
-    /// It hears one.
+    /// The member follows a coordinator.
     Follower,
-    /// It has called for votes.
+    /// The member has requested votes, and the election is not decided.
     Candidate,
-    /// It is the one.
+    /// The member is the coordinator of its region.
     Coordinator,
 }
 
-/// Something that happened.
+/// An event that the state machine processes.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Input {
-    /// A member's message, by the datagram's head from this run of it.
+    /// A message from another member. The datagram's header names the sender and the incarnation of its
+    /// process.
     Message {
-        /// From whom.
+        /// The sender.
         from: MemberId,
-        /// Which run.
+        /// The incarnation of the sender's process.
         incarnation: u64,
-        /// What.
+        /// The message itself.
         message: Message,
     },
-    /// A timer is due.
+    /// A requested timer has expired.
     Woke,
-    /// How a member sees discovery, this one included; whenever that changes. Members of other regions may be told
-    /// too.
+    /// A member, possibly this one, began or ceased to reach discovery. Given on each change. Members of
+    /// other regions may be included.
     DiscoveryReach {
-        /// Who.
+        /// The member whose view of discovery changed.
         member: MemberId,
-        /// How.
+        /// Whether the member reaches discovery.
         reach: Reach,
     },
-    /// Whether a member lives, whenever that changes; all do until told otherwise.
+    /// A member was found to be alive or dead. Given on each change. All members count as alive until an event
+    /// reports otherwise.
     Liveness {
-        /// Who.
+        /// The member whose state changed.
         member: MemberId,
-        /// Whether.
+        /// Whether the member is alive.
         alive: bool,
     },
-    /// This member's own discovery told a list or what changed in it: that it answers goes with it.
+    /// This member received a list, or changes to its list, from discovery itself. This implies that it
+    /// reaches discovery.
     ListUpdate {
-        /// Its version.
+        /// The version of the list.
         version: u64,
-        /// Whether who is missing is gone.
+        /// Whether this is the complete list, so that servers without an entry are gone.
         complete: bool,
-        /// Its entries.
+        /// The entries of the list, or the changed entries.
         entries: Vec<Entry>,
     },
-    /// What a member, this one included, saw of a server, whenever that changes; nothing: it says so no more (the
-    /// fact was taken back or expired).
+    /// The state of a server as observed by a member, possibly this one. Given on each change. Without a
+    /// state, the member reports nothing about the server any more, because its fact was withdrawn or has
+    /// expired.
     Evidence {
-        /// Who saw it.
+        /// The member that observed the server.
         reporter: MemberId,
-        /// Which server.
+        /// The observed server.
         server: ServerKey,
-        /// How it stands.
+        /// The observed state.
         standing: Option<Standing>,
     },
-    /// A fact of the kind `LIST` of another member, whenever it changes; empty: gone.
+    /// A fact of the kind `LIST` of another member. Given on each change. An empty body means that the fact
+    /// is gone.
     ListFact {
-        /// Whose.
+        /// The owner of the fact.
         member: MemberId,
-        /// The fact's body.
+        /// The encoded body of the fact.
         body: Vec<u8>,
     },
 }
 
-/// What should be done.
+/// An action that the member's process must perform.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
-    /// Send this to a member.
+    /// Send a message to another member.
     Send {
-        /// To whom.
+        /// The recipient.
         to: MemberId,
-        /// What.
+        /// The message to send.
         message: Message,
     },
-    /// Hand back [`Input::Woke`] at this time or soon after; an earlier one stays good.
+    /// Provide [`Input::Woke`] at this time or soon after. Earlier requests remain valid.
     WakeAt(Millis),
-    /// How to ask discovery from now on.
+    /// Poll discovery in this way from now on.
     SetPolling(Asking),
-    /// A server stands differently than this member was told.
+    /// A server's state differs from the one that this member's process was last told.
     ServerChanged {
-        /// The entry, with where it now stands.
+        /// The server's list entry, with its current state.
         entry: Entry,
-        /// Who says so.
+        /// The reason for the change.
         why: Because,
     },
-    /// Spread a fact of this member's own.
+    /// Publish a fact of this member to the others.
     Publish(Fact),
-    /// A line for the operators.
+    /// Log a line for the operators.
     Log(String),
 }
--- a/crates/peers/src/coordinator/mod.rs
+++ b/crates/peers/src/coordinator/mod.rs
@@ -1,40 +1,49 @@
-//! One who speaks for a region while discovery is out of reach for it.
+//! Elects one member as the region's coordinator while the region cannot reach discovery.
 //!
-//! **When.** A majority of the region's *configured* members must say, each for
-//! [`Timing::outage`](crate::api::Timing), that discovery is out of reach. Then one is elected by the votes of a
-//! majority of the configured members. Without one there is no coordinator and all is as without peers. It stands
-//! down as soon as it has discovery itself or no majority lacks it any more, says so to all, and the need must then
-//! be seen anew for an outage before the next is elected: so that where some reach discovery and others do not,
-//! coordinators do not follow each other in haste.
+//! **When a coordinator is elected.** A majority of the region's *configured* members must have reported
+//! discovery as unreachable, each for at least [`Timing::outage`](crate::api::Timing). One member is then
+//! elected by the votes of a majority of the configured members. If no majority votes for a member, the
+//! region has no coordinator and every member works as it would without peers. The coordinator steps down as
+//! soon as it reaches discovery itself, or as soon as a majority of the members no longer reports discovery
+//! as unreachable. It announces this to all members. After that, the outage must last for `Timing::outage`
+//! again before the next election. This keeps coordinators from replacing each other in quick succession
+//! where some members reach discovery and others do not.
 //!
-//! **Never two.** A voter promises to follow nobody else for a time by its own clock. The candidate counts on that
-//! from when it sent its call, for that time less the drift of both clocks: `usable = lasts (1 - d) / (1 + d)`. It
-//! acts while a majority's promises can be counted on, and looks at its clock before anything else, so that a
-//! process that slept past its lease wakes as none. Two majorities share a member, and that one promises to one run
-//! at a time. Nothing is kept on disk: a new process neither votes nor stands for `lease (1 + d) / (1 - d) +
-//! election`, when all that its former self promised has run out. So the proof needs a clock that does not stand
-//! still while the process is stopped.
+//! **At most one coordinator.** A voter promises, for a duration measured by its own clock, not to follow any
+//! other candidate. The candidate counts on this promise from the time at which it sent its vote request, for
+//! that duration reduced by the drift of both clocks: `usable = duration (1 - d) / (1 + d)`. A coordinator
+//! acts only while it can count on the promises of a majority. It checks its clock before it does anything
+//! else, so that a process that was suspended past the end of its lease is no longer coordinator when it
+//! resumes. Any two majorities share a member, and a member is bound by its promise to one run of one
+//! candidate at a time. Promises are not stored on disk. Instead, a new process neither votes nor becomes a
+//! candidate for `lease (1 + d) / (1 - d) + election`: by then every promise of the previous process has
+//! expired. This argument requires a clock that keeps running while the process is stopped.
 //!
-//! **Old terms.** A term is a number, its candidate and which run of it. Members obey the highest that they know;
-//! words and renewals of lower ones are refused, counted and answered with what is known, whereupon a holder whose
-//! lease still goes takes a higher number, for promises are to a run and not to a number. A fleet that was
-//! restarted whole counts from one again. What is still under way from before cannot be obeyed then: each word
-//! names the incarnation that it is sent to, a sender learns that only from a message of that very run, and
-//! messages of former runs are dropped once the new one was heard.
+//! **Old terms.** A term consists of a number, the candidate, and the incarnation of the candidate's process.
+//! Members follow the highest term that they know. They reject and count directives and renewals of lower
+//! terms, and reply with the highest term. A coordinator that receives such a reply while its lease is valid
+//! raises its term number. It needs no new votes, because a promise is made to a run of the candidate and not
+//! to a term number. Numbers start at one again when all members restart. A directive that was in flight
+//! during such a restart cannot be applied afterwards. Each directive message names the incarnation that it
+//! is addressed to, and a sender learns that incarnation only from a message of the same run. Messages of
+//! earlier runs are dropped once a message of the new run has been received.
 //!
-//! **Small regions.** With one configured member the majority is itself: it asks discovery often, and withdraws
-//! nothing, for evidence takes two. With two both must agree on everything: when either is gone there is no
-//! coordinator.
+//! **Small regions.** In a region with one configured member, that member is the majority. It polls discovery
+//! often, and withdraws nothing, because a withdrawal requires evidence from two members. In a region with
+//! two members, both must agree on everything. If either is gone, there is no coordinator.
 //!
-//! **Withdrawals.** By the evidence of two members of the region, and never more than leave half of the list's
-//! servers. Whoever withdrew gives back: when two members saw the server serve again, when its entry in the list
-//! changed, or some leases later when no two say so any more. A successor says again under its own term what former
-//! ones withdrew, as far as it or two others know, before it may give it back. They end at once with discovery's
-//! own list at a member, and with the coordinator's word that discovery is back. A member that hears no coordinator
-//! for [`LAPSE`] leases goes by its list again.
+//! **Withdrawals.** The coordinator withdraws a server on the evidence of two members of the region, and
+//! always leaves at least half of the listed servers in service. The coordinator that withdrew a server also
+//! restores it: when two members have seen the server serving again, when its entry in the list changes, or
+//! some leases later if there are no longer two members that report it as unavailable. A new coordinator
+//! first repeats under its own term the withdrawals of its predecessors, as far as it or two other members
+//! know them. Only then may it restore those servers. A withdrawal ends immediately at a member that receives
+//! a list from discovery itself, and at a member that learns from the coordinator that discovery is back. A
+//! member that has not heard from a coordinator for [`WITHDRAWAL_TTL_LEASES`] leases uses its list unchanged
+//! again.
 //!
-//! Traffic: a coordinator sends each other member of its region two to four renewals a lease, and each answers; a
-//! call for votes goes to each once in `election`.
+//! **Traffic.** A coordinator sends each other member of its region two to four renewals per lease, and each
+//! member acknowledges them. A candidate sends each member at most one vote request per election timeout.
 
 mod api;
 mod directives;
@@ -57,35 +66,37 @@
 use evidence::Evidence;
 use leadership::{Leadership, Resignation};
 
-/// After so many leases without a coordinator's word its withdrawals are obeyed no more.
+/// A member stops applying withdrawals after this many leases without a message from a coordinator.
 pub const WITHDRAWAL_TTL_LEASES: u64 = 30;
 
-/// What follows from the configuration. Times in milliseconds.
+/// Parameters derived from the configuration. Times are in milliseconds.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Params {
     me: MemberId,
     incarnation: u64,
     seed: u64,
-    /// The configured members of the region, this one included.
+    /// The configured members of the region, including this member.
     region_members: Vec<MemberId>,
     majority: usize,
-    /// The longest promise.
+    /// The lease, which is also the longest promise that this member makes.
     lease: Millis,
-    /// The promise that goes with a vote: short, so that a split vote does not bind for a whole lease.
+    /// The duration of the promise made with a vote. It is short so that after a split vote the voters are
+    /// not bound for a full lease.
     vote_duration: Millis,
     election_timeout: Millis,
     outage_threshold: Millis,
-    /// Until when this process is too new to vote.
+    /// This process does not vote before this time, because the previous process of this member may have made
+    /// promises that are still valid.
     quarantine_until: Millis,
-    /// By how many parts in a million two clocks may differ in speed.
+    /// The largest difference in speed between two clocks, in parts per million.
     drift_ppm: u64,
 }
 
-/// A million parts.
+/// One million: the denominator of a value in parts per million.
 const PPM: u64 = 1_000_000;
 
 impl Params {
-    /// For how long a promise can be counted on, by the clock of whom it was made to.
+    /// How long a candidate can count on a promise of this duration, by the candidate's own clock.
     fn usable_lease(&self, duration: Millis) -> Millis {
         duration.saturating_mul(PPM - self.drift_ppm) / (PPM + self.drift_ppm)
     }
@@ -96,38 +107,45 @@
     }
 }
 
-/// A member's part in its region's coordination. The same inputs give the same outputs.
+/// The election and directive state of one member. It is deterministic: the same inputs give the same
+/// outputs.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Coordinator {
     params: Arc<Params>,
-    /// The highest term that it knows of.
+    /// The highest term that this member knows.
     highest_term: Term,
-    /// The highest number that it was refused for.
+    /// The highest term number that this member learnt from a rejection or a late message. Its own next term
+    /// takes a higher number.
     number_floor: u64,
     promise: Option<Promise>,
-    /// Which run of each member was heard last.
+    /// The incarnation in the last accepted message of each member.
     incarnations: BTreeMap<MemberId, u64>,
-    /// How each sees discovery, and since when that is known here.
+    /// Whether each member reaches discovery, and when this member learnt it.
     discovery_reach: BTreeMap<MemberId, (Reach, Millis)>,
     dead_members: BTreeSet<MemberId>,
+    /// When this member becomes a candidate, unless the need for a coordinator ends before.
     candidacy_at: Option<Millis>,
+    /// Counts the random numbers that were drawn to delay a candidacy.
     election_attempts: u64,
     candidacy: Option<Candidacy>,
     leadership: Option<Leadership>,
     resignation: Option<Resignation>,
-    /// The coordinator that is heard, and until when that counts.
+    /// The term of the coordinator that this member follows, and until when it follows without a further
+    /// message.
     following: Option<(Term, Millis)>,
     applied: AppliedDirectives,
     evidence: Evidence,
-    /// What this member's process was told to be withdrawn.
+    /// The withdrawals that were last reported to this member's process.
     reported_withdrawals: BTreeMap<ServerKey, Standing>,
+    /// How this member's process was last told to poll discovery.
     polling: Asking,
     next_wake: Option<Millis>,
     stale_rejected: Counter,
     lists: Lists,
 }
 
-/// A count for the operators, which decides nothing: states that differ in it alone are one.
+/// A counter for operators that influences no decision. All values compare as equal, so that states that
+/// differ only in a counter are equal.
 #[derive(Debug, Clone, Copy)]
 struct Counter(u64);
 
@@ -143,7 +161,7 @@
     fn hash<H: std::hash::Hasher>(&self, _: &mut H) {}
 }
 
-/// The `n`th number that follows from a seed (splitmix64, Steele et al. 2014).
+/// The `n`th number of the sequence that splitmix64 (Steele et al. 2014) generates from a seed.
 pub(crate) fn splitmix64(seed: u64, n: u64) -> u64 {
     let mut z = seed.wrapping_add(n.wrapping_mul(0x9e37_79b9_7f4a_7c15));
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -152,7 +170,8 @@
 }
 
 impl Coordinator {
-    /// A member's part, from the start of its process. `incarnation` is higher at each start.
+    /// Creates the state for a process that starts now. Each start of the process must use a higher
+    /// `incarnation`.
     pub fn new(config: Arc<Config>, now: Millis, incarnation: u64, seed: u64) -> Coordinator {
         let me = config.me;
         let own_region = config.members.get(usize::from(me.0)).map(|member| member.region);
@@ -162,7 +181,7 @@
             .map(|(id, _)| MemberId(id))
             .collect();
         let timing = &config.timing;
-        // The cast saturates, and a share that is no number is none.
+        // The cast saturates, and turns NaN into zero.
         let drift_ppm = ((timing.drift * PPM as f64).ceil() as u64).min(PPM - 1);
         let longest_promise = timing.lease.saturating_mul(PPM + drift_ppm).div_ceil(PPM - drift_ppm);
         let params = Params {
@@ -209,12 +228,12 @@
         }
     }
 
-    /// Takes in what happened at `now`, by this member's clock, and appends what should be done.
+    /// Processes an input at time `now` of this member's clock, and appends the resulting actions.
     pub fn handle(&mut self, now: Millis, input: Input, actions: &mut Vec<Output>) {
         self.drop_expired_lease(now, actions);
         let mut changed = Changed::new();
         match input {
-            // Whoever keeps one timer only has none now.
+            // A caller that keeps only one timer has none left now, so the next one must be requested again.
             Input::Woke => self.next_wake = None,
             Input::Message { from, incarnation, message } => {
                 self.on_message(now, from, incarnation, message, &mut changed, actions);
@@ -261,7 +280,7 @@
         self.schedule_wake(now, actions);
     }
 
-    /// What this member is, as of the last call.
+    /// The role of this member as of the last call.
     pub fn role(&self) -> Role {
         match (&self.leadership, &self.candidacy, &self.following) {
             (Some(_), ..) => Role::Coordinator,
@@ -271,27 +290,28 @@
         }
     }
 
-    /// The highest term it knows of.
+    /// The highest term that this member knows.
     pub fn term(&self) -> Term {
         self.highest_term
     }
 
-    /// The term whose words it obeys, and up to which number it has heard them.
+    /// The term whose directives this member applies, and the number up to which it has received all of them.
     pub fn applied_through(&self) -> (Term, u32) {
         (self.applied.term, self.applied.through)
     }
 
-    /// What is withdrawn by coordinators' words, as far as this member has heard.
+    /// The withdrawals by coordinators that this member has received and that still apply.
     pub fn withdrawn(&self) -> Vec<(ServerKey, Standing)> {
         self.applied.withdrawals().collect()
     }
 
-    /// How many words and renewals of older terms it refused.
+    /// The number of directive messages and renewals that were rejected because they belong to an older term
+    /// or are addressed to an earlier run of this member.
     pub fn stale_rejected(&self) -> u64 {
         self.stale_rejected.0
     }
 
-    /// The list.
+    /// This member's copy of discovery's server list.
     pub fn lists(&self) -> &Lists {
         &self.lists
     }
@@ -323,7 +343,7 @@
                 self.on_member_restarted(from);
             }
         }
-        // Nobody speaks for another's term.
+        // Accepts such messages only from the term's own candidate, in the run that the term belongs to.
         let is_senders_term = |term: &Term| term.candidate == from && term.incarnation == incarnation;
         match message {
             Message::RequestVote { term, sent_at, duration }
@@ -371,7 +391,7 @@
         }
     }
 
-    /// Asks to be woken when something is due next.
+    /// Requests a wake-up for the next time at which something is due.
     fn schedule_wake(&mut self, now: Millis, actions: &mut Vec<Output>) {
         let withdrawals_expire = (!self.applied.is_empty())
             .then(|| self.applied.last_contact + WITHDRAWAL_TTL_LEASES * self.params.lease);
