--- a/crates/peers/src/coordinator/election.rs
+++ b/crates/peers/src/coordinator/election.rs
@@ -1,4 +1,4 @@
-//! Votes: the need for a coordinator, candidates, voters' promises.
+//! Elections: the need for a coordinator, candidacies, and the promises of voters.
 
 use std::collections::BTreeMap;
 
@@ -6,52 +6,55 @@
 use super::{Coordinator, Output};
 use crate::api::{MemberId, Millis, Reach};
 
-/// Numbers may rise by so much at once: a broken member cannot use them up.
+/// The largest accepted increase of the term number in one message. This keeps a faulty member from
+/// exhausting the term numbers.
 const MAX_NUMBER_JUMP: u64 = 1 << 32;
 
-/// A call for votes that is not decided.
+/// A candidacy of this member that is not decided yet.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct Candidacy {
     pub term: Term,
-    /// Until when each voter's promise can be counted on, by this member's clock.
+    /// Until when this member can count on each voter's promise, by its own clock.
     pub votes: BTreeMap<MemberId, Millis>,
-    /// When those who have not answered are called again.
+    /// When members that have not granted their vote are asked again.
     pub resend_at: Millis,
-    /// When it is given up.
+    /// When this member abandons the candidacy.
     pub ends_at: Millis,
 }
 
-/// A promise to follow nobody else.
+/// A promise of this member not to follow another candidate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct Promise {
     pub term: Term,
-    /// By this member's clock.
+    /// When the promise expires, by this member's clock.
     pub until: Millis,
 }
 
 impl Coordinator {
-    /// Whether this process is too new to vote: its former self may have made a promise that still counts.
+    /// Whether this process started too recently to vote. The previous process of this member may have made a
+    /// promise that is still valid.
     pub(super) fn quarantined(&self, now: Millis) -> bool {
         now < self.params.quarantine_until
     }
 
-    /// Whether a term is of this very run.
+    /// Whether a term belongs to this run of this member.
     pub(super) fn is_own_term(&self, term: &Term) -> bool {
         term.candidate == self.params.me && term.incarnation == self.params.incarnation
     }
 
-    /// Whether another run has this member's promise.
+    /// Whether this member is bound by a promise to a run other than the one that `term` belongs to.
     pub(super) fn promised_to_other(&self, now: Millis, term: &Term) -> bool {
         self.promise.is_some_and(|promise| now < promise.until && !promise.term.same_run(term))
     }
 
-    /// Takes note of a term, where its number can be meant.
+    /// Whether the number of a term is plausible: not zero, and not too far above the numbers known here.
     pub(super) fn is_plausible(&self, term: &Term) -> bool {
         term.number != 0
             && term.number <= self.highest_term.number.max(self.number_floor).saturating_add(MAX_NUMBER_JUMP)
     }
 
-    /// How many of the region's living members have said for so long that discovery is out of reach.
+    /// The number of living members of the region that have reported discovery as unreachable for at least
+    /// `age`.
     fn count_down(&self, now: Millis, age: Millis) -> usize {
         let down = |member: &&MemberId| {
             self.discovery_reach.get(member).is_some_and(|(reach, since)| {
@@ -63,6 +66,7 @@
         self.params.region_members.iter().filter(down).count()
     }
 
+    /// The number of living members of the region that report discovery as reachable.
     fn count_up(&self) -> usize {
         let up = |member: &&MemberId| {
             self.discovery_reach.get(member).is_some_and(|(reach, _)| *reach == Reach::Up)
@@ -71,26 +75,28 @@
         self.params.region_members.iter().filter(up).count()
     }
 
-    /// How this member sees discovery.
+    /// Whether this member reaches discovery, or nothing if that is not known yet.
     pub(super) fn own_reach(&self) -> Option<Reach> {
         self.discovery_reach.get(&self.params.me).map(|(reach, _)| *reach)
     }
 
-    /// Whether a coordinator is needed, as far as this member knows, which is one of those without discovery.
+    /// Whether the region needs a coordinator, as far as this member knows. Only a member that does not reach
+    /// discovery itself sees this need.
     fn coordinator_needed(&self, now: Millis) -> bool {
         self.own_reach() == Some(Reach::Down)
             && self.count_down(now, self.params.outage_threshold) >= self.params.majority
     }
 
-    /// Whether a coordinator has nothing more to do: it has discovery itself, or a majority does not say any more
-    /// that it is out of reach. Members that fell silent do not count as such: without them the lease ends by
-    /// itself.
+    /// Whether the coordinator should step down: it reaches discovery itself, or there is no longer a
+    /// majority that reports discovery as unreachable. Members that merely fell silent are not a reason to
+    /// step down, because without their renewals the lease expires anyway.
     pub(super) fn no_longer_needed(&self, now: Millis) -> bool {
         self.own_reach() == Some(Reach::Up)
             || (self.count_up() > 0 && self.count_down(now, 0) < self.params.majority)
     }
 
-    /// The need must be seen anew, for as long as an outage takes: a coordinator said that discovery is back.
+    /// Restarts the outage timers, because a coordinator announced that discovery is back. The next election
+    /// requires that the outage is observed again for its full threshold.
     pub(super) fn restart_outage_timers(&mut self, now: Millis) {
         for (reach, since) in self.discovery_reach.values_mut() {
             if *reach == Reach::Down {
@@ -99,7 +105,7 @@
         }
     }
 
-    /// When the present need will be old enough.
+    /// When the current outage will have lasted long enough for an election, if that is in the future.
     pub(super) fn needed_at(&self, now: Millis) -> Option<Millis> {
         if self.own_reach() != Some(Reach::Down) {
             return None;
@@ -118,7 +124,7 @@
         (at > now).then_some(at)
     }
 
-    /// Stands, calls again, or gives up, as it is time.
+    /// Becomes a candidate, repeats the vote requests, or abandons the candidacy, depending on the time.
     pub(super) fn run_election(&mut self, now: Millis, actions: &mut Vec<Output>) {
         if self.leadership.is_some() || self.quarantined(now) {
             self.candidacy_at = None;
@@ -161,7 +167,7 @@
         self.check_votes(now, actions);
     }
 
-    /// Calls those who have not answered.
+    /// Sends a vote request to each member that has not granted its vote.
     fn request_votes(&mut self, now: Millis, actions: &mut Vec<Output>) {
         let Some(candidacy) = &mut self.candidacy else { return };
         candidacy.resend_at = now + self.params.election_timeout;
@@ -174,13 +180,13 @@
         }
     }
 
-    /// Gives up a candidacy and says so, so that who promised is free.
+    /// Abandons the candidacy and announces this, which releases the voters from their promises.
     pub(super) fn abandon_candidacy(&mut self, actions: &mut Vec<Output>) {
         let Some(candidacy) = self.candidacy.take() else { return };
         if self.promise.is_some_and(|promise| promise.term == candidacy.term) {
             self.promise = None;
         }
-        // To all: a vote may be under way.
+        // Sent to all members, because votes that were granted may still be in flight.
         for to in self.params.other_members() {
             actions.push(Output::Send {
                 to,
@@ -189,7 +195,7 @@
         }
     }
 
-    /// Takes office with the promises of a majority.
+    /// Becomes coordinator if a majority has granted its votes.
     fn check_votes(&mut self, now: Millis, actions: &mut Vec<Output>) {
         let won = self.candidacy.as_ref().is_some_and(|candidacy| {
             candidacy.votes.values().filter(|until| **until > now).count() >= self.params.majority
@@ -199,7 +205,7 @@
         }
     }
 
-    /// A candidate calls for this member's vote.
+    /// Handles a candidate's request for this member's vote.
     pub(super) fn on_vote_request(
         &mut self,
         now: Millis,
@@ -208,15 +214,15 @@
         duration: u32,
         actions: &mut Vec<Output>,
     ) {
-        // A longer promise than this member's own longest would outlast its quarantine.
+        // A promise longer than this member's own lease could outlast the quarantine of its next process.
         if self.quarantined(now) || u64::from(duration) > self.params.lease {
             return;
         }
-        // Who knows that most have discovery does not vote.
+        // A member does not vote if it knows that so many members reach discovery that no majority lacks it.
         if self.count_up() > self.params.region_members.len() - self.params.majority {
             return;
         }
-        // Of two candidates the lower gives way, so that a split vote ends at once.
+        // Of two candidates, the one with the lower term gives way, which resolves a split vote at once.
         if term > self.highest_term && self.candidacy.is_some() {
             self.abandon_candidacy(actions);
         }
@@ -226,7 +232,8 @@
                 to,
                 message: Message::Reject { term, highest_term: self.highest_term },
             });
-            // The lower of two candidates may have given way, and its word of that was lost.
+            // The candidate that holds this member's promise may have given way to the higher term, and its
+            // announcement may have been lost. This rejection makes it announce the end of its term again.
             if let Some(promise) = self.promise
                 && promise.term < term
                 && self.following.is_none()
@@ -244,7 +251,7 @@
         actions.push(Output::Send { to, message: Message::GrantVote { term, sent_at } });
     }
 
-    /// A voter has promised.
+    /// Handles a vote that was granted to this member.
     pub(super) fn on_vote_granted(
         &mut self,
         now: Millis,
@@ -264,7 +271,8 @@
         }
     }
 
-    /// A member refused a term of this run: it knows a higher one.
+    /// Handles the rejection of a term of this run by a member that knows a higher one, or is bound to
+    /// another candidate.
     pub(super) fn on_rejection(
         &mut self,
         now: Millis,
@@ -276,8 +284,8 @@
         if !self.is_own_term(&term) || !self.is_plausible(&highest_term) {
             return;
         }
-        // Not while in office: its term may have been this one before it took a higher number, and its promises
-        // count.
+        // A coordinator does not announce the end of the rejected term. It may have held that term before it
+        // raised its number, and the promises made then are still valid.
         if self.leadership.is_none() && self.candidacy.as_ref().is_none_or(|candidacy| candidacy.term != term)
         {
             actions.push(Output::Send {
@@ -294,7 +302,7 @@
         }
     }
 
-    /// A term is over, as its own candidate says.
+    /// Handles the announcement of a candidate that its term has ended.
     pub(super) fn on_term_ended(&mut self, now: Millis, term: Term, discovery_back: bool) {
         if self.promise.is_some_and(|promise| promise.term == term) {
             self.promise = None;
--- a/crates/peers/src/coordinator/term.rs
+++ b/crates/peers/src/coordinator/term.rs
@@ -1,129 +1,136 @@
-//! Terms, and what the members of a region tell each other about them.
+//! Terms, directives, and the messages that the members of a region exchange about them.
 
 use serde::{Deserialize, Serialize};
 
 use crate::api::{MemberId, ServerKey, Standing};
 use crate::lists::{self, Rank};
 
-/// Whose word counts: the highest term that a member knows of. A term is of one run of one candidate, and a run
-/// never takes the same number twice, so that no two processes ever hold one term, not even after a fleet was
-/// restarted whole and counts from one again.
+/// Identifies a candidacy and the leadership that follows from it. Members follow the highest term that they
+/// know. A term belongs to one run of one candidate, and a run never uses a number twice. No two processes
+/// can therefore hold the same term, not even after all members restarted and numbers began at one again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Term {
-    /// Counts up with each call for votes. 0: no term is known.
+    /// Increases with each candidacy. Zero means that no term is known.
     pub number: u64,
-    /// Who stands or stood.
+    /// The member that asked for votes in this term.
     pub candidate: MemberId,
-    /// Which run of its process.
+    /// The incarnation of the candidate's process.
     pub incarnation: u64,
 }
 
 impl Term {
-    /// No term: below all others.
+    /// The absence of a term. It is lower than every other term.
     pub const NONE: Term = Term { number: 0, candidate: MemberId(0), incarnation: 0 };
 
-    /// Whether both are of one run of one process: a promise made to it holds for all of its terms.
+    /// Whether both terms belong to the same run of the same process. A promise made to a run is valid for
+    /// all of its terms.
     pub fn same_run(&self, other: &Term) -> bool {
         self.candidate == other.candidate && self.incarnation == other.incarnation
     }
 }
 
-/// What a coordinator says of one server. In each term the numbers count up from one; of the words about one server
-/// the last one counts.
+/// The state that a coordinator declares for one server. Directives are numbered from one in each term. The
+/// last directive about a server replaces all earlier ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Directive {
-    /// Its number in its term.
+    /// The number of the directive within its term.
     pub number: u32,
-    /// Which server.
+    /// The server that the directive is about.
     pub server: ServerKey,
-    /// How it stands: [`Standing::Serving`] gives back what was withdrawn.
+    /// The declared state. [`Standing::Serving`] restores a server that was withdrawn.
     pub standing: Standing,
 }
 
-/// Words in one datagram at most: 8 of at most 16 bytes, and up to 50 for the rest, stay under 200.
+/// The maximum number of directives in one message. 8 directives of at most 16 bytes and up to 50 bytes for
+/// the other fields stay under 200 bytes.
 pub const MAX_DIRECTIVES: usize = 8;
 
-/// Withdrawals of former terms that a member tells with one acknowledgement at most.
+/// The maximum number of withdrawals of earlier terms that a member reports in one acknowledgement.
 pub const MAX_INHERITED: usize = 8;
 
-/// What members tell each other; 200 bytes of `postcard` at most. Each is harmless when lost, late or doubled.
+/// A message between members, at most 200 bytes when encoded with `postcard`. Losing, delaying or duplicating
+/// any message is harmless.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// Promise to follow nobody else for a while: a candidate's call for votes.
+    /// A candidate asks the recipient for its vote: a promise not to follow another candidate for some time.
     RequestVote {
-        /// What it stands for.
+        /// The term that the candidate asks votes for.
         term: Term,
-        /// When this was sent, by the candidate's clock: its lease counts from then.
+        /// When the request was sent, by the candidate's clock. The candidate counts its lease from this
+        /// time.
         sent_at: u64,
-        /// How long the promise lasts by the voter's clock.
+        /// How long the promise is valid, by the voter's clock.
         duration: u32,
     },
-    /// The promise.
+    /// A voter grants the requested promise.
     GrantVote {
-        /// The term of the call.
+        /// The term of the request.
         term: Term,
-        /// The time of the call.
+        /// The time of the request, copied from it.
         sent_at: u64,
     },
-    /// No: a higher term is known, or another has the promise.
+    /// The recipient rejects a message because it knows a higher term, or because it has promised its vote to
+    /// another candidate.
     Reject {
-        /// What was refused.
+        /// The term of the rejected message.
         term: Term,
-        /// The highest known.
+        /// The highest term that the sender of this message knows.
         highest_term: Term,
     },
-    /// The coordinator says that it goes on, and asks for the promise once more.
+    /// The coordinator renews its lease: it asks for the promise again.
     Renew {
-        /// Its term.
+        /// The coordinator's term.
         term: Term,
-        /// The incarnation of whom it is sent to, 0 where that is not known yet.
+        /// The incarnation of the recipient, or 0 if the coordinator does not know it yet.
         to_incarnation: u64,
-        /// When this was sent, by the coordinator's clock.
+        /// When the renewal was sent, by the coordinator's clock.
         sent_at: u64,
-        /// How long the promise lasts by the member's clock.
+        /// How long the promise is valid, by the recipient's clock.
         duration: u32,
-        /// The number of its last word.
+        /// The number of the coordinator's last directive.
         last_directive: u32,
-        /// Which list it holds.
+        /// The rank of the server list that the coordinator holds.
         list: Rank,
     },
-    /// The answer to a renewal, and to words.
+    /// A member acknowledges a renewal or directives.
     Ack {
-        /// The term.
+        /// The coordinator's term.
         term: Term,
-        /// The time of the renewal, or nothing where no promise goes with this.
+        /// The time of the renewal, copied from it. Absent if this acknowledgement includes no promise.
         sent_at: Option<u64>,
-        /// All words up to this number were heard.
+        /// The member has applied all directives up to this number.
         through: u32,
-        /// Withdrawals of former terms that this term has said nothing of, up to [`CARRIED`].
+        /// Withdrawals of earlier terms that no directive of this term has replaced, at most
+        /// [`MAX_INHERITED`].
         inherited: Vec<(ServerKey, Standing)>,
     },
-    /// Words.
+    /// The coordinator sends directives. `directives` holds, in the order of their numbers, all directives
+    /// with numbers above `after` and up to `up_to` that later ones have not replaced.
     Directives {
-        /// Whose.
+        /// The coordinator's term.
         term: Term,
-        /// The incarnation of whom it is sent to: a word to a former run is none for this one.
+        /// The incarnation of the recipient. Directives to an earlier run are not valid for a later one.
         to_incarnation: u64,
-        /// All that still count after this number...
+        /// The number that the directives follow.
         after: u32,
-        /// ...up to this one...
+        /// The number up to which `directives` is complete.
         up_to: u32,
-        /// ...are these, in the order of their numbers.
+        /// The directives in the order of their numbers.
         directives: Vec<Directive>,
     },
-    /// The term is over: its candidate has given it up, whether or not it was elected. No promise is needed any
-    /// more.
+    /// The term has ended because its candidate gave it up, whether it had been elected or not. Voters are
+    /// released from their promises.
     TermEnded {
-        /// Which.
+        /// The term that ended.
         term: Term,
-        /// It was the coordinator's, and discovery is back: all withdrawals end.
+        /// Whether the candidate was the coordinator and discovery is back, so that all withdrawals end.
         discovery_back: bool,
     },
-    /// The answer to that.
+    /// A member acknowledges the end of a coordinator's term.
     TermEndedAck {
-        /// Which.
+        /// The term that ended.
         term: Term,
     },
-    /// About discovery's list.
+    /// A message for exchanging discovery's server list.
     List(lists::Message),
 }
