--- a/crates/peers/src/coordinator/directives.rs
+++ b/crates/peers/src/coordinator/directives.rs
@@ -1,4 +1,4 @@
-//! A coordinator's words: as it says them, and as a member obeys them.
+//! Directives: the log of those that a coordinator issues, and the record of those that a member applies.
 
 use std::collections::BTreeMap;
 
@@ -7,16 +7,15 @@
 use crate::api::{Millis, ServerKey, Standing};
 use crate::lists::ENTRIES;
 
-/// What a coordinator has said of a server last.
+/// The last directive that a coordinator issued about a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct LatestDirective {
     number: u32,
     pub standing: Standing,
-    /// When.
     pub issued_at: Millis,
 }
 
-/// All that a coordinator has said in its term. Of the words about one server only the last is kept.
+/// The directives that a coordinator issued in its term. Only the last directive about each server is kept.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 pub(super) struct DirectiveLog {
     last_number: u32,
@@ -25,28 +24,29 @@
 }
 
 impl DirectiveLog {
-    /// The number of the last word.
+    /// The number of the last directive, or zero if there is none.
     pub fn last_number(&self) -> u32 {
         self.last_number
     }
 
-    /// Says one more.
+    /// Issues a directive with the next number.
     pub fn issue(&mut self, now: Millis, server: ServerKey, standing: Standing) {
         let Some(number) = self.last_number.checked_add(1) else { return };
         self.last_number = number;
-        if let Some(old) = self.by_server.insert(server, LatestDirective { number, standing, issued_at: now })
+        if let Some(replaced) =
+            self.by_server.insert(server, LatestDirective { number, standing, issued_at: now })
         {
-            self.by_number.remove(&old.number);
+            self.by_number.remove(&replaced.number);
         }
         self.by_number.insert(number, server);
     }
 
-    /// What was said of a server.
+    /// The last directive about a server.
     pub fn latest(&self, server: ServerKey) -> Option<LatestDirective> {
         self.by_server.get(&server).copied()
     }
 
-    /// The servers that are withdrawn.
+    /// The servers whose last directive withdraws them.
     pub fn withdrawn(&self) -> impl Iterator<Item = ServerKey> + '_ {
         self.by_server
             .iter()
@@ -54,7 +54,8 @@
             .map(|(server, _)| *server)
     }
 
-    /// What still counts after a number, so many at most, and up to which number this is all.
+    /// Returns up to `limit` directives that follow `number` and are not replaced, and the number up to which
+    /// the result is complete.
     pub fn after(&self, number: u32, limit: usize) -> (Vec<Directive>, u32) {
         let directives: Vec<Directive> = self
             .by_number
@@ -72,23 +73,24 @@
         (directives, up_to)
     }
 
-    /// A datagram full.
+    /// Like [`DirectiveLog::after`], limited to what fits one datagram.
     pub fn next_batch(&self, number: u32) -> (Vec<Directive>, u32) {
         self.after(number, MAX_DIRECTIVES)
     }
 }
 
-/// What a member has heard from the coordinators of its region and obeys while its own discovery is out of reach.
+/// The directives that a member has received from the coordinators of its region, and applies while it cannot
+/// reach discovery itself.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct AppliedDirectives {
-    /// Whose words these are.
+    /// The term of the coordinator that issued the directives.
     pub term: Term,
-    /// All words up to this number were heard.
+    /// All directives up to this number have been applied.
     pub through: u32,
     withdrawn: BTreeMap<ServerKey, Standing>,
-    /// Withdrawals of former terms that this term has said nothing of.
+    /// Withdrawals of earlier terms that no directive of this term has replaced.
     inherited: BTreeMap<ServerKey, Standing>,
-    /// When the coordinator was last heard.
+    /// When the last message from the coordinator arrived.
     pub last_contact: Millis,
 }
 
@@ -103,7 +105,8 @@
         }
     }
 
-    /// A coordinator of this term is heard. What former ones withdrew stays so until it says otherwise.
+    /// Records a message from the coordinator of this term. Withdrawals of earlier terms stay in force until
+    /// a directive of this term replaces them.
     pub fn begin_term(&mut self, now: Millis, term: Term) {
         self.last_contact = now;
         if term != self.term {
@@ -113,7 +116,8 @@
         }
     }
 
-    /// Words that follow a number and are all up to another. Whether they were taken: words after a gap are not.
+    /// Applies directives that follow the number `after` and are complete up to the number `up_to`. Returns
+    /// false, without applying any, if earlier directives are missing.
     pub fn apply(&mut self, after: u32, up_to: u32, directives: &[Directive]) -> bool {
         if after > self.through {
             return false;
@@ -136,29 +140,31 @@
         true
     }
 
-    /// All withdrawals end: discovery's list counts.
+    /// Ends all withdrawals, so that discovery's list applies unchanged.
     pub fn clear(&mut self) {
         self.withdrawn.clear();
         self.inherited.clear();
     }
 
-    /// Whether there is none.
+    /// Whether there is no withdrawal.
     pub fn is_empty(&self) -> bool {
         self.withdrawn.is_empty() && self.inherited.is_empty()
     }
 
-    /// All that are withdrawn.
+    /// All withdrawn servers and their states.
     pub fn withdrawals(&self) -> impl Iterator<Item = (ServerKey, Standing)> + '_ {
         self.withdrawn.iter().chain(&self.inherited).map(|(server, standing)| (*server, *standing))
     }
 
-    /// Some of those that the present term has said nothing of.
+    /// Withdrawals of earlier terms that no directive of this term has replaced, limited to what one
+    /// acknowledgement holds.
     pub fn inherited(&self) -> Vec<(ServerKey, Standing)> {
         self.inherited.iter().take(MAX_INHERITED).map(|(server, standing)| (*server, *standing)).collect()
     }
 }
 
-/// What stays withdrawn against a list: never less than the list itself says.
+/// The state that a directive imposes on a server, or nothing if the list already shows it in the same or a
+/// worse state.
 pub(super) fn effective_withdrawal(listed: Standing, directed: Standing) -> Option<Standing> {
     (severity(directed) > severity(listed)).then_some(directed)
 }
@@ -173,7 +179,7 @@
     }
 
     #[test]
-    fn a_member_that_lags_comes_level_whatever_is_lost_doubled_or_late() {
+    fn a_lagging_member_catches_up_despite_lost_duplicated_or_late_batches() {
         let mut log = DirectiveLog::default();
         for server in 0..30 {
             log.issue(0, ServerKey(server), Standing::Draining);
@@ -186,26 +192,26 @@
         let mut sent = 0;
         while applied.through < log.last_number() {
             let (directives, up_to) = log.next_batch(applied.through);
-            let (late, late_upto) = log.next_batch(up_to);
+            let (late, late_up_to) = log.next_batch(up_to);
             sent += 1;
             assert!(directives.len() <= MAX_DIRECTIVES && sent < 10);
-            // What comes after a gap is not taken, and what comes again changes nothing.
+            // Directives after a gap are not applied, and repeated directives change nothing.
             let through = applied.through;
             if up_to < log.last_number() {
-                assert!(!applied.apply(up_to, late_upto, &late));
+                assert!(!applied.apply(up_to, late_up_to, &late));
             }
             assert!(applied.apply(through, up_to, &directives));
-            let once = applied.clone();
+            let applied_once = applied.clone();
             assert!(applied.apply(through, up_to, &directives));
-            assert_eq!(applied, once);
+            assert_eq!(applied, applied_once);
         }
-        assert_eq!(sent, 4, "30 words count, 8 in a datagram");
-        let all: Vec<u64> = applied.withdrawals().map(|(server, _)| server.0).collect();
-        assert_eq!(all, (10..30).collect::<Vec<_>>());
+        assert_eq!(sent, 4, "30 directives remain, 8 in a datagram");
+        let withdrawn: Vec<u64> = applied.withdrawals().map(|(server, _)| server.0).collect();
+        assert_eq!(withdrawn, (10..30).collect::<Vec<_>>());
     }
 
     #[test]
-    fn a_new_term_begins_without_words_and_former_withdrawals_stay_until_it_says_otherwise() {
+    fn a_new_term_starts_without_directives_and_inherits_withdrawals_until_it_replaces_them() {
         let mut applied = AppliedDirectives::new();
         applied.begin_term(0, term(1));
         let mut log = DirectiveLog::default();
--- a/crates/peers/src/coordinator/evidence.rs
+++ b/crates/peers/src/coordinator/evidence.rs
@@ -1,16 +1,17 @@
-//! What members saw of servers, whatever the list says.
+//! Evidence: what the members of the region observed of servers, independent of the list.
 
 use std::collections::BTreeMap;
 
 use crate::api::{MemberId, Millis, ServerKey, Standing};
 
-/// A withdrawal takes the word of so many members: one may be cut off, slow or broken.
+/// A withdrawal requires reports of this many members, because a single member may be cut off, slow or
+/// faulty.
 pub(super) const MIN_REPORTERS: usize = 2;
 
-/// Of so many servers evidence is kept at most.
+/// Evidence is kept for at most this many servers.
 const MAX_SERVERS: usize = 4_096;
 
-/// How far a server is from taking new work.
+/// Ranks states by how much they restrict new requests to the server.
 pub(super) fn severity(standing: Standing) -> u8 {
     match standing {
         Standing::Serving => 0,
@@ -19,18 +20,18 @@
     }
 }
 
-/// What is known of one server.
+/// The evidence about one server.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 struct ServerEvidence {
-    /// What each member saw.
+    /// The state that each member observed.
     observed: BTreeMap<MemberId, Standing>,
-    /// Who was told of a withdrawal by a former coordinator, and how.
+    /// Members that still apply a withdrawal by an earlier coordinator, and the withdrawn state.
     inherited: BTreeMap<MemberId, Standing>,
-    /// When the first of those said so.
+    /// When the first of those members reported the withdrawal.
     inherited_since: Millis,
 }
 
-/// All that members of the region saw.
+/// The evidence of all members of the region, by server.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 pub(super) struct Evidence {
     servers: BTreeMap<ServerKey, ServerEvidence>,
@@ -44,7 +45,7 @@
         Some(self.servers.entry(server).or_default())
     }
 
-    /// What a member saw now, or that it says nothing of a server any more.
+    /// Records the state that a member observed, or removes its report if there is no state.
     pub fn observe(&mut self, reporter: MemberId, server: ServerKey, standing: Option<Standing>) {
         match standing {
             Some(standing) => {
@@ -63,7 +64,8 @@
         }
     }
 
-    /// A member holds a withdrawal by a former coordinator that the present one has said nothing of.
+    /// Records that a member applies a withdrawal by an earlier coordinator that the current one has not
+    /// replaced.
     pub fn observe_inherited(
         &mut self,
         now: Millis,
@@ -79,7 +81,7 @@
         }
     }
 
-    /// What was carried is settled: the coordinator has said its own word.
+    /// Drops the inherited withdrawals of a server, because the coordinator issued a directive of its own.
     pub fn clear_inherited(&mut self, server: ServerKey) {
         if let Some(entry) = self.servers.get_mut(&server) {
             entry.inherited.clear();
@@ -89,12 +91,14 @@
         }
     }
 
-    /// The list has a newer entry: what was seen was another run of the server.
+    /// Drops all evidence about a server, because the list has a newer entry. The evidence was about an
+    /// earlier run of the server.
     pub fn forget(&mut self, server: ServerKey) {
         self.servers.remove(&server);
     }
 
-    /// The worst that enough members saw, or say together with those who carry a withdrawal.
+    /// The worst state that enough members report. With `include_inherited`, a member that reports nothing
+    /// itself but still applies an inherited withdrawal counts as reporting its state.
     pub fn withdrawal(&self, server: ServerKey, include_inherited: bool) -> Option<Standing> {
         let entry = self.servers.get(&server)?;
         let mut reports = entry.observed.clone();
@@ -110,7 +114,7 @@
         })
     }
 
-    /// Whether enough members saw it serve again.
+    /// Whether enough members have seen the server serving again.
     pub fn seen_serving(&self, server: ServerKey) -> bool {
         self.servers.get(&server).is_some_and(|entry| {
             entry.observed.values().filter(|standing| **standing == Standing::Serving).count()
@@ -118,7 +122,8 @@
         })
     }
 
-    /// Since when somebody carries a withdrawal that is not settled.
+    /// Since when at least one member has reported an inherited withdrawal that the current coordinator has
+    /// not replaced.
     pub fn inherited_since(&self, server: ServerKey) -> Option<Millis> {
         self.servers
             .get(&server)
@@ -126,7 +131,7 @@
             .map(|entry| entry.inherited_since)
     }
 
-    /// All servers of which something is known.
+    /// All servers with evidence.
     pub fn servers(&self) -> Vec<ServerKey> {
         self.servers.keys().copied().collect()
     }
@@ -137,10 +142,11 @@
     use super::*;
 
     #[test]
-    fn it_takes_two_members_and_the_milder_of_two_words() {
+    fn a_withdrawal_takes_two_members_and_the_milder_of_two_reports() {
         use Standing::{Draining, Gone, Serving};
         let server = ServerKey(1);
-        // What members 0, 1 and 2 saw, and what follows.
+        // The states that members 0, 1 and 2 observed, the resulting withdrawal, and whether the server
+        // counts as serving.
         let table = [
             (&[Some(Gone), None, None][..], None, false),
             (&[Some(Gone), Some(Draining), None], Some(Draining), false),
@@ -151,7 +157,7 @@
         for (seen, withdrawn, serves) in table {
             let mut evidence = Evidence::default();
             for (reporter, standing) in (0..).map(MemberId).zip(seen) {
-                // Said twice by one member is said once.
+                // A repeated report by the same member counts once.
                 evidence.observe(reporter, server, *standing);
                 evidence.observe(reporter, server, *standing);
             }
@@ -161,7 +167,7 @@
     }
 
     #[test]
-    fn who_carries_a_withdrawal_counts_beside_who_saw_it_until_that_is_settled() {
+    fn members_with_an_inherited_withdrawal_count_until_a_directive_replaces_it() {
         let (server, mut evidence) = (ServerKey(1), Evidence::default());
         evidence.observe_inherited(5, MemberId(0), server, Standing::Gone);
         evidence.observe(MemberId(0), server, Some(Standing::Gone));
--- a/crates/peers/src/coordinator/follower.rs
+++ b/crates/peers/src/coordinator/follower.rs
@@ -1,4 +1,4 @@
-//! What a member does by a coordinator's words, and by discovery's list against them.
+//! How a member follows a coordinator, and combines its directives with discovery's list.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,7 +9,9 @@
 use crate::lists::Rank;
 
 impl Coordinator {
-    /// Whether a holder's message counts: its term is the highest known, from now on at least.
+    /// Decides whether to accept a coordinator's message, and records its term as the highest known if so.
+    /// Messages of lower terms are rejected, and so are messages that arrive while this member is coordinator
+    /// itself.
     pub(super) fn accept_term(&mut self, now: Millis, term: Term, actions: &mut Vec<Output>) -> bool {
         if term < self.highest_term {
             self.stale_rejected.0 += 1;
@@ -18,7 +20,8 @@
             return false;
         }
         if self.leadership.is_some() {
-            // Its lease ran out before this one's began, or it would not have been elected: the message is late.
+            // The message is late. The sender's lease ended before this member was elected, because a
+            // majority cannot promise to both at the same time.
             self.stale_rejected.0 += 1;
             self.number_floor = self.number_floor.max(term.number);
             self.raise_term_number(now, actions);
@@ -29,7 +32,7 @@
         true
     }
 
-    /// A coordinator goes on.
+    /// Handles a coordinator's renewal of its lease.
     #[expect(clippy::too_many_arguments, reason = "the parts of one message")]
     pub(super) fn on_renewal(
         &mut self,
@@ -70,7 +73,7 @@
         actions.push(Output::Send { to: term.candidate, message: ack });
     }
 
-    /// A coordinator's words.
+    /// Handles a coordinator's directives.
     #[expect(clippy::too_many_arguments, reason = "the parts of one message")]
     pub(super) fn on_directives(
         &mut self,
@@ -107,13 +110,15 @@
             match reach {
                 Reach::Up if self.leadership.is_none() => self.applied.clear(),
                 Reach::Up => {}
-                // A coordinator that is still there says again what was let go meanwhile.
+                // Withdrawals were dropped while this member reached discovery. Acknowledging number zero
+                // makes a coordinator that is still in place send all of its directives again.
                 Reach::Down => self.applied.through = 0,
             }
         }
     }
 
-    /// Without a coordinator for long, all is as the list says.
+    /// Stops following a coordinator that has not been heard from in time. After a longer silence, ends all
+    /// withdrawals, so that the list applies unchanged.
     pub(super) fn expire(&mut self, now: Millis, actions: &mut Vec<Output>) {
         if self.following.is_some_and(|(_, until)| now >= until) {
             self.following = None;
@@ -123,11 +128,13 @@
             && now.saturating_sub(self.applied.last_contact) >= WITHDRAWAL_TTL_LEASES * self.params.lease
         {
             self.applied.clear();
-            actions.push(Output::Log("no coordinator for long: what one withdrew is used again".to_owned()));
+            actions
+                .push(Output::Log("no coordinator for long: withdrawn servers are in use again".to_owned()));
         }
     }
 
-    /// Tells this member's process what changed: in the list by other members, and in what is withdrawn.
+    /// Reports changed servers to this member's process: those whose entry changed with a list from another
+    /// member, and those whose withdrawal began, changed or ended.
     pub(super) fn report_changes(&mut self, changed: &[ServerKey], actions: &mut Vec<Output>) {
         let mut withdrawals = BTreeMap::new();
         if self.own_reach() != Some(Reach::Up) {
--- a/crates/peers/src/coordinator/leadership.rs
+++ b/crates/peers/src/coordinator/leadership.rs
@@ -1,4 +1,4 @@
-//! What a coordinator does: its lease, its words, and how it stands down.
+//! The work of the elected coordinator: its lease, its directives, and stepping down.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,28 +8,33 @@
 use super::{Coordinator, Output};
 use crate::api::{MemberId, Millis, Reach, ServerKey, Standing};
 
-/// A withdrawal without evidence any more is given back after so many leases: where nobody sends there nobody sees
-/// anything new, and each giving back costs requests that find out.
+/// A withdrawal that is no longer supported by evidence ends after this many leases. While nobody sends
+/// requests to the server, nobody can observe that it recovered. Each restoration costs the
+/// requests that find out whether it did.
 const HOLD_LEASES: u64 = 5;
 
-/// In regions of at most so many members renewals go out four times a lease, in larger ones twice: there a majority
-/// of those that were asked once is nearly certain, and each costs a datagram.
+/// In regions of up to this many members, the coordinator sends renewals four times per lease, in larger ones
+/// twice. In a large region a majority answers a single round almost certainly, and each renewal costs one
+/// datagram per member.
 const SMALL_REGION: usize = 64;
 
-/// The coordinator's own state.
+/// The state of an elected coordinator.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct Leadership {
     pub term: Term,
-    /// Until when each member's promise can be counted on, by this member's clock.
+    /// Until when this member can count on each member's promise, by its own clock.
     promises: BTreeMap<MemberId, Millis>,
-    /// Up to which number each has heard, and when it was last sent what follows which.
+    /// The number up to which each member has acknowledged directives.
     acked: BTreeMap<MemberId, u32>,
+    /// The number that the last directives sent to each member follow, and when they were sent.
     last_sent: BTreeMap<MemberId, (u32, Millis)>,
     directives: DirectiveLog,
+    /// When the lease is renewed next.
     pub renew_at: Millis,
 }
 
-/// A coordinator that has stood down and says so until all have heard, for the length of a lease.
+/// A coordinator that stepped down. It announces this until all members have acknowledged it, for at most one
+/// lease.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct Resignation {
     term: Term,
@@ -39,8 +44,8 @@
 }
 
 impl Coordinator {
-    /// Until when a majority's promises can be counted on, by this member's clock; nothing where it is not in
-    /// office.
+    /// The end of this member's lease, by its own clock: until then it can count on the promises of a
+    /// majority. Nothing if it is not the coordinator.
     pub fn lease_until(&self) -> Option<Millis> {
         let leadership = self.leadership.as_ref()?;
         let mut promises: Vec<Millis> = leadership.promises.values().copied().collect();
@@ -48,12 +53,14 @@
         promises.get(self.params.majority.checked_sub(1)?).copied()
     }
 
-    /// Whether this member is the coordinator at this time by its clock, however long ago it was last called.
+    /// Whether this member holds the lease at time `now` of its clock. This is accurate even if the member
+    /// has not been called for a long time.
     pub fn is_acting(&self, now: Millis) -> bool {
         self.lease_until().is_some_and(|until| now < until)
     }
 
-    /// Before anything else: a process that slept past its lease is no coordinator any more.
+    /// Gives up the leadership if the lease has expired. Called before any input is processed, so that a
+    /// process that was suspended past the end of its lease no longer acts as coordinator.
     pub(super) fn drop_expired_lease(&mut self, now: Millis, actions: &mut Vec<Output>) {
         if self.leadership.is_some()
             && !self.is_acting(now)
@@ -61,13 +68,13 @@
         {
             self.following = None;
             actions.push(Output::Log(format!(
-                "coordinator no more: no majority of the region renewed the lease of term {}",
+                "coordinator no more: the lease of term {} expired, no majority of the region renewed it",
                 leadership.term.number
             )));
         }
     }
 
-    /// How often a lease is renewed.
+    /// The time between two renewals of the lease.
     fn renewal_interval(&self) -> Millis {
         let times = if self.params.region_members.len() <= SMALL_REGION { 4 } else { 2 };
         (self.params.lease / times).max(1)
@@ -81,7 +88,7 @@
     ) {
         let term = candidacy.term;
         actions.push(Output::Log(format!(
-            "coordinator of the region in term {}: discovery is out of reach for most of it",
+            "coordinator of the region in term {}: a majority of its members cannot reach discovery",
             term.number
         )));
         self.resignation = None;
@@ -95,16 +102,18 @@
             directives: DirectiveLog::default(),
             renew_at: now,
         });
-        // What former coordinators withdrew, as far as this member knows, it withdraws itself before it may give it
-        // back.
+        // Repeats, under the new term, all withdrawals of earlier coordinators that this member knows. Only
+        // then may it restore those servers.
         let former: Vec<(ServerKey, Standing)> = self.applied.withdrawals().collect();
         for (server, standing) in former {
             self.issue_directive(now, server, standing);
         }
     }
 
-    /// Takes a higher number while the lease goes on: some member knows a higher term than this one, of a candidate
-    /// that was not elected, and would refuse its words. Promises are to a run, so that no vote is needed.
+    /// Raises the number of this coordinator's term while its lease stays valid. This is needed when a member
+    /// knows a higher term, of a candidate that was not elected, and would therefore reject this
+    /// coordinator's directives. No vote is needed, because promises are made to a run of the candidate and
+    /// not to a number.
     pub(super) fn raise_term_number(&mut self, now: Millis, actions: &mut Vec<Output>) {
         let Some(number) = self.highest_term.number.max(self.number_floor).checked_add(1) else { return };
         let Some(leadership) = &mut self.leadership else { return };
@@ -122,7 +131,8 @@
         self.maintain_leadership(now, actions);
     }
 
-    /// Renews, judges and speaks, as it is time; stands down when discovery is back.
+    /// Renews the lease and reevaluates all servers when a renewal is due. Steps down when the region no
+    /// longer needs a coordinator.
     pub(super) fn maintain_leadership(&mut self, now: Millis, actions: &mut Vec<Output>) {
         if self.leadership.is_none() {
             return;
@@ -156,7 +166,7 @@
         }
     }
 
-    /// A member's answer to a renewal or to words.
+    /// Handles a member's acknowledgement of a renewal or of directives.
     pub(super) fn on_ack(
         &mut self,
         now: Millis,
@@ -177,14 +187,16 @@
         }
         leadership.acked.insert(from, through);
         for (server, standing) in inherited {
-            // Said already: it will hear.
+            // A server that a directive of this term is about needs no further evidence: the member will
+            // receive that directive.
             if leadership.directives.latest(*server).is_none() {
                 self.evidence.observe_inherited(now, from, *server, *standing);
             }
         }
     }
 
-    /// Sends who lags what comes next, once in half an interval until it is acknowledged.
+    /// Sends the next directives to each member that has not acknowledged all of them. They are repeated
+    /// after half a renewal interval until the member acknowledges them.
     pub(super) fn send_directives(&mut self, now: Millis, actions: &mut Vec<Output>) {
         let resend_interval = self.renewal_interval() / 2;
         let Some(leadership) = &mut self.leadership else { return };
@@ -192,7 +204,8 @@
             return;
         }
         for to in self.params.other_members() {
-            // Who has never answered is not known to live in this run, and no word is for another.
+            // Directives are addressed to one incarnation, which is unknown until the member has sent a
+            // message.
             let Some(incarnation) = self.incarnations.get(&to) else { continue };
             let after = leadership.acked.get(&to).copied().unwrap_or(0);
             let recently_sent = leadership.last_sent.get(&to).is_some_and(|(sent, at)| {
@@ -216,7 +229,7 @@
         }
     }
 
-    /// A member's process was started anew: it has heard nothing.
+    /// Handles the restart of a member's process: the new process has received no directives yet.
     pub(super) fn on_member_restarted(&mut self, member: MemberId) {
         if let Some(leadership) = &mut self.leadership {
             leadership.acked.remove(&member);
@@ -243,7 +256,8 @@
         }
     }
 
-    /// Withdraws a server by the evidence of two members, or gives back what this coordinator withdrew.
+    /// Evaluates the evidence about a server. Withdraws the server on the evidence of two members, or
+    /// restores it if this coordinator withdrew it.
     pub(super) fn evaluate(&mut self, now: Millis, server: ServerKey) {
         let Some(leadership) = &self.leadership else { return };
         let issued = leadership.directives.latest(server);
@@ -260,24 +274,25 @@
             }
             return;
         }
-        // At least half of the servers that the list has serving stay, whatever is seen.
+        // At least half of the servers that the list shows as serving stay in service, whatever the evidence.
         let within_limit = (leadership.directives.withdrawn().count() + 1) * 2 <= self.lists.serving();
         match self.evidence.withdrawal(server, true) {
-            // Where two say this and two say that it serves, the list counts.
+            // If two members report the server as unavailable and two others as serving, the list prevails.
             Some(standing) if serving_in_list && within_limit && !self.evidence.seen_serving(server) => {
                 self.issue_directive(now, server, standing)
             }
             _ => {
                 let inherited_since = self.evidence.inherited_since(server);
                 if inherited_since.is_some_and(|since| now.saturating_sub(since) >= self.params.lease) {
-                    // One member alone remembers a withdrawal: it is this term's now, and given back.
+                    // This inherited withdrawal was not repeated within a lease, because only one member
+                    // knows of it or a condition above prevented it. A directive of this term ends it.
                     self.issue_directive(now, server, Standing::Serving);
                 }
             }
         }
     }
 
-    /// The list has a newer entry of a server: it wins over what this coordinator said.
+    /// Handles a newer list entry of a server. The list prevails over a directive of this coordinator.
     pub(super) fn on_entry_updated(&mut self, now: Millis, server: ServerKey) {
         self.evidence.forget(server);
         let issued = self.leadership.as_ref().and_then(|leadership| leadership.directives.latest(server));
@@ -289,8 +304,8 @@
     fn step_down(&mut self, now: Millis, actions: &mut Vec<Output>) {
         let Some(leadership) = self.leadership.take() else { return };
         let why = match self.own_reach() {
-            Some(Reach::Up) => "discovery is back",
-            _ => "most of the region has discovery again",
+            Some(Reach::Up) => "this member reaches discovery again",
+            _ => "no majority of the region reports discovery as unreachable any more",
         };
         actions
             .push(Output::Log(format!("coordinator no more: term {} ends, {why}", leadership.term.number)));
@@ -305,7 +320,7 @@
         });
     }
 
-    /// Repeats that the term is over.
+    /// Announces the end of the term again to the members that have not acknowledged it.
     pub(super) fn announce_resignation(&mut self, now: Millis, actions: &mut Vec<Output>) {
         let resend_interval = self.renewal_interval() / 2 + 1;
         let Some(resignation) = &mut self.resignation else { return };
@@ -322,7 +337,7 @@
         }
     }
 
-    /// A member has heard that.
+    /// Handles a member's acknowledgement that the term has ended.
     pub(super) fn on_term_ended_ack(&mut self, from: MemberId, term: Term) {
         if let Some(resignation) = &mut self.resignation
             && resignation.term == term
