--- a/crates/peers/src/coordinator/api.rs
+++ b/crates/peers/src/coordinator/api.rs
@@ -39,8 +39,8 @@
         /// Whether the member reaches discovery.
         reach: Reach,
     },
-    /// A member was found to be alive or dead. Given on each change. All members count as alive until an event
-    /// reports otherwise.
+    /// A member was found to be alive or dead. Given on each change. All members count as alive until an
+    /// event reports otherwise.
     Liveness {
         /// The member whose state changed.
         member: MemberId,
--- a/crates/peers/src/coordinator/tests.rs
+++ b/crates/peers/src/coordinator/tests.rs
@@ -1,4 +1,4 @@
-//! Regions of real members in memory: what is seen from outside of elections, words and lists.
+//! Tests of elections, directives and lists with several real members that exchange messages in memory.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -6,15 +6,15 @@
 use super::*;
 use crate::api::{Because, Budgets, Entry, Member, RegionId, Timing};
 
-/// Members of one region with 5 ms between any two.
+/// The members of one region. Each message takes 5 ms.
 pub(crate) struct Fleet {
     pub now: Millis,
     pub nodes: Vec<Coordinator>,
-    /// Members that are not called: nothing reaches them and their timers pass.
+    /// Suspended members: they receive no messages, their own messages are lost, and their timers wait.
     pub stopped: BTreeSet<u16>,
-    /// What was said to each process.
+    /// The actions of each member, other than messages and timers.
     pub outputs: Vec<Vec<Output>>,
-    /// One message in so many is lost, by chance; 0: none.
+    /// The inverse of the probability that a message is lost. Zero means that none is.
     pub lose_one_in: u64,
     pub sent: u64,
     wakes: BTreeMap<u16, Millis>,
@@ -39,7 +39,7 @@
     })
 }
 
-/// A server that serves, with a name of its number.
+/// The list entry of the server with this number.
 pub(crate) fn entry(number: u16, standing: Standing) -> Entry {
     Entry {
         host: format!("server-{number}"),
@@ -62,7 +62,7 @@
 }
 
 impl Fleet {
-    /// Members that are no longer too new to vote.
+    /// Creates members whose quarantine has ended.
     pub fn new(members: u16) -> Fleet {
         let mut fleet = Fleet {
             now: 1_000_000,
@@ -75,7 +75,7 @@
             net: Vec::new(),
         };
         for (id, node) in (0..).zip(&mut fleet.nodes) {
-            // Draws of their own, as processes have.
+            // Each member has its own seed, as separate processes do.
             *node = Coordinator::new(config(id, members), 1_000_000, 1, 7 + u64::from(id));
         }
         fleet.run(3_000);
@@ -112,7 +112,7 @@
         }
     }
 
-    /// All members hear how one sees discovery.
+    /// Tells all members whether one of them reaches discovery.
     pub fn set_reach(&mut self, member: u16, reach: Reach) {
         self.input_all(&Input::DiscoveryReach { member: MemberId(member), reach });
     }
@@ -123,9 +123,9 @@
         }
     }
 
-    /// All hear what one saw.
-    pub fn report_evidence(&mut self, by: u16, server: u16, standing: Option<Standing>) {
-        self.input_all(&Input::Evidence { reporter: MemberId(by), server: key(server), standing });
+    /// Tells all members what one of them observed of a server.
+    pub fn report_evidence(&mut self, reporter: u16, server: u16, standing: Option<Standing>) {
+        self.input_all(&Input::Evidence { reporter: MemberId(reporter), server: key(server), standing });
     }
 
     pub fn restart(&mut self, id: u16) {
@@ -162,7 +162,7 @@
         (0..).zip(&self.nodes).find(|(_, node)| node.is_acting(self.now)).map(|(id, _)| id)
     }
 
-    /// How a member's process was last told that a server stands, and by whom.
+    /// The last state of a server that was reported to a member's process, and the reason.
     pub fn notified(&self, id: u16, server: u16) -> Option<(Standing, Because)> {
         self.outputs[usize::from(id)].iter().rev().find_map(|output| match output {
             Output::ServerChanged { entry, why } if ServerKey::of(&entry.host) == key(server) => {
@@ -180,18 +180,18 @@
     }
 }
 
-/// A region that holds a list of so many servers and has a coordinator.
+/// A region without discovery that has a list of servers and an elected coordinator.
 fn region_with_coordinator(members: u16, servers: u16) -> (Fleet, u16) {
     let mut fleet = Fleet::new(members);
     fleet.input_all(&Input::ListUpdate { version: 1, complete: true, entries: list(servers) });
     fleet.lose_discovery();
     fleet.run(2_500);
-    let first = fleet.coordinator().expect("one is elected");
+    let first = fleet.coordinator().expect("a coordinator is elected");
     (fleet, first)
 }
 
 #[test]
-fn a_majority_without_discovery_elects_one_and_a_minority_none() {
+fn a_majority_without_discovery_elects_a_coordinator_and_a_minority_does_not() {
     for (members, down, elected) in
         [(1, 1, true), (2, 1, false), (2, 2, true), (5, 2, false), (5, 3, true), (6, 3, false)]
     {
@@ -200,11 +200,11 @@
             fleet.set_reach(member, if member < down { Reach::Down } else { Reach::Up });
         }
         fleet.run(1_499);
-        assert_eq!(fleet.coordinator(), None, "the outage is not old enough");
+        assert_eq!(fleet.coordinator(), None, "the outage is too short");
         fleet.run(1_000);
         assert_eq!(fleet.coordinator().is_some(), elected, "{down} of {members}");
         if let Some(id) = fleet.coordinator() {
-            assert!(id < down, "one of those without discovery");
+            assert!(id < down, "the coordinator does not reach discovery itself");
             let all: Vec<Option<Asking>> = (0..members).map(|id| fleet.polling(id)).collect();
             let expected = |member| match member {
                 member if member == id => Some(Asking::Often),
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn without_most_of_its_members_a_region_has_none() {
+fn a_region_without_a_majority_of_its_members_has_no_coordinator() {
     let mut fleet = Fleet::new(5);
     fleet.lose_discovery();
     fleet.stopped = BTreeSet::from([2, 3, 4]);
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn one_that_was_stopped_past_its_lease_wakes_as_none_and_follows_its_successor() {
+fn a_coordinator_suspended_past_its_lease_resumes_as_follower_of_its_successor() {
     let (mut fleet, first) = region_with_coordinator(5, 4);
     fleet.stopped.insert(first);
     fleet.run(4_000);
@@ -240,7 +240,7 @@
     fleet.input(first, Input::Woke);
     let node = &fleet.nodes[usize::from(first)];
     assert_ne!(node.role(), Role::Coordinator);
-    assert!(fleet.sent <= sent + 1, "no renewal, at most a question about the list");
+    assert!(fleet.sent <= sent + 1, "no renewal, at most a request about the list");
     fleet.run(1_000);
     assert_eq!(fleet.coordinator(), Some(second));
     assert_eq!(fleet.nodes[usize::from(first)].role(), Role::Follower);
@@ -248,11 +248,11 @@
 }
 
 #[test]
-fn older_words_are_refused_and_counted_and_the_holder_takes_a_higher_number() {
+fn stale_directives_are_rejected_and_counted_and_the_coordinator_raises_its_term_number() {
     let (mut fleet, first) = region_with_coordinator(3, 4);
     let member = (first + 1) % 3;
     let term = fleet.nodes[usize::from(first)].term();
-    // The member knows a higher term of a candidate that was never elected.
+    // The member learns a higher term, of a candidate that was never elected.
     let late = Term { number: term.number + 3, candidate: MemberId((first + 2) % 3), incarnation: 1 };
     let message = Message::Renew {
         term: late,
@@ -277,12 +277,12 @@
 }
 
 #[test]
-fn a_word_to_a_former_run_or_in_anothers_name_is_not_obeyed() {
+fn a_directive_to_an_earlier_run_or_from_the_wrong_sender_is_not_applied() {
     let mut fleet = Fleet::new(3);
     fleet.input_all(&Input::ListUpdate { version: 1, complete: true, entries: list(4) });
     let term = Term { number: 9, candidate: MemberId(0), incarnation: 1 };
     let directive = Directive { number: 1, server: key(0), standing: Standing::Gone };
-    // To which run, from whom and in which run of it.
+    // The addressed incarnation, the sender, and the sender's incarnation.
     for (to_incarnation, from, incarnation) in [(0, 0, 1), (2, 0, 1), (1, 2, 1), (1, 0, 2)] {
         let message =
             Message::Directives { term, to_incarnation, after: 0, up_to: 1, directives: vec![directive] };
@@ -292,14 +292,14 @@
 }
 
 #[test]
-fn two_members_evidence_withdraws_for_all_and_the_coordinator_gives_back() {
+fn evidence_of_two_members_withdraws_a_server_for_all_and_the_coordinator_restores_it() {
     let (mut fleet, first) = region_with_coordinator(5, 4);
     fleet.lose_one_in = 3;
     fleet.report_evidence(0, 1, Some(Standing::Gone));
     fleet.run(3_000);
-    assert_eq!(fleet.notified(2, 1), None, "one alone");
+    assert_eq!(fleet.notified(2, 1), None, "evidence of one member only");
     fleet.report_evidence(1, 1, Some(Standing::Draining));
-    // One that was restarted, and one that heard nothing meanwhile, come level.
+    // A member that restarts, and members that missed messages meanwhile, catch up.
     let other = (first + 1) % 5;
     fleet.run(3_000);
     fleet.restart(other);
@@ -309,7 +309,7 @@
     for id in 0..5 {
         assert_eq!(fleet.notified(id, 1), Some((Standing::Draining, Because::Withdrawn)), "{id}");
     }
-    // Half of four servers stay, whatever is seen.
+    // Half of the four servers stay in service, whatever the evidence.
     for server in 0..4 {
         fleet.report_evidence(3, server, Some(Standing::Gone));
         fleet.report_evidence(4, server, Some(Standing::Gone));
@@ -327,32 +327,33 @@
 }
 
 #[test]
-fn a_successor_withdraws_itself_what_the_former_did_and_gives_back_without_evidence() {
+fn a_successor_repeats_inherited_withdrawals_and_restores_servers_without_evidence() {
     let (mut fleet, first) = region_with_coordinator(5, 4);
     fleet.report_evidence(0, 1, Some(Standing::Gone));
     fleet.report_evidence(1, 1, Some(Standing::Gone));
     fleet.run(1_000);
     fleet.stopped.insert(first);
-    for by in [0, 1] {
-        fleet.report_evidence(by, 1, None);
+    for reporter in [0, 1] {
+        fleet.report_evidence(reporter, 1, None);
     }
     fleet.run(5_000);
     let second = fleet.coordinator().expect("a successor");
     let watched = (0..5).find(|id| *id != first && *id != second).expect("another");
     assert_eq!(fleet.notified(watched, 1), Some((Standing::Gone, Because::Withdrawn)));
     let (term, through) = fleet.nodes[usize::from(watched)].applied_through();
-    assert_eq!((term.candidate, through), (MemberId(second), 1), "under its own term");
+    assert_eq!((term.candidate, through), (MemberId(second), 1), "repeated under its own term");
     fleet.run(15_000);
     assert_eq!(fleet.notified(watched, 1), Some((Standing::Serving, Because::GivenBack)));
 }
 
 #[test]
-fn discovery_wins_at_once_and_all_withdrawals_end() {
+fn discovery_prevails_at_once_and_ends_all_withdrawals() {
     let (mut fleet, first) = region_with_coordinator(5, 4);
     fleet.report_evidence(0, 1, Some(Standing::Gone));
     fleet.report_evidence(1, 1, Some(Standing::Gone));
     fleet.run(1_000);
-    // A member's own list counts there, also while the others have none.
+    // A list from discovery prevails at the member that received it, even while no other member reaches
+    // discovery.
     let other = (first + 1) % 5;
     fleet.input(other, Input::ListUpdate { version: 1, complete: true, entries: list(4) });
     assert_eq!(fleet.notified(other, 1), Some((Standing::Serving, Because::GivenBack)));
@@ -361,14 +362,14 @@
     assert_eq!(fleet.coordinator(), None);
     fleet.lose_one_in = 3;
     fleet.run(2_900);
-    // The drain that discovery told one is told to all, and nobody undoes it.
+    // The draining state that one member learnt from discovery reaches all members, and no member reverts it.
     for id in (0..5).filter(|id| ![first, other].contains(id)) {
         assert_eq!(fleet.notified(id, 1), Some((Standing::Draining, Because::NewerList)), "{id}");
     }
 }
 
 #[test]
-fn where_only_the_coordinator_reaches_discovery_the_next_waits_for_an_outage() {
+fn after_only_the_coordinator_reaches_discovery_the_next_election_waits_for_a_full_outage() {
     let (mut fleet, first) = region_with_coordinator(5, 4);
     fleet.set_reach(first, Reach::Up);
     fleet.run(1_400);
@@ -377,25 +378,25 @@
     let second = fleet.coordinator().expect("four of five have no discovery");
     assert_ne!(second, first);
     fleet.run(5_000);
-    assert_eq!(fleet.coordinator(), Some(second), "it stays");
+    assert_eq!(fleet.coordinator(), Some(second), "the second coordinator stays");
 }
 
 #[test]
-fn a_fleet_that_restarts_whole_elects_anew_after_quarantine() {
+fn when_all_members_restart_the_next_election_follows_the_quarantine() {
     let (mut fleet, _) = region_with_coordinator(3, 4);
     for id in 0..3 {
         fleet.restart(id);
     }
     fleet.lose_discovery();
     fleet.run(2_000);
-    assert_eq!(fleet.coordinator(), None, "too new to vote");
+    assert_eq!(fleet.coordinator(), None, "the quarantine has not ended");
     fleet.run(1_000);
-    let first = fleet.coordinator().expect("one");
+    let first = fleet.coordinator().expect("a coordinator after the quarantine");
     assert_eq!(fleet.nodes[usize::from(first)].term().incarnation, 2);
 }
 
 #[test]
-fn elections_end_under_loss_and_in_large_regions() {
+fn elections_succeed_under_message_loss_and_in_large_regions() {
     for (members, lost, within) in [(5, 3, 1_500), (60, 0, 1_000), (60, 3, 1_500)] {
         let mut fleet = Fleet::new(members);
         fleet.lose_one_in = lost;
@@ -409,15 +410,15 @@
 }
 
 #[test]
-fn withdrawals_lapse_where_no_coordinator_is_heard_for_long() {
+fn withdrawals_expire_after_a_long_time_without_a_coordinator() {
     let (mut fleet, first) = region_with_coordinator(3, 4);
     fleet.report_evidence(0, 1, Some(Standing::Gone));
     fleet.report_evidence(1, 1, Some(Standing::Gone));
     fleet.run(1_000);
-    let alone = (first + 1) % 3;
-    fleet.stopped = (0..3).filter(|id| *id != alone).collect();
+    let isolated = (first + 1) % 3;
+    fleet.stopped = (0..3).filter(|id| *id != isolated).collect();
     fleet.run(58_000);
-    assert_eq!(fleet.notified(alone, 1), Some((Standing::Gone, Because::Withdrawn)));
+    assert_eq!(fleet.notified(isolated, 1), Some((Standing::Gone, Because::Withdrawn)));
     fleet.run(4_000);
-    assert_eq!(fleet.notified(alone, 1), Some((Standing::Serving, Because::GivenBack)));
+    assert_eq!(fleet.notified(isolated, 1), Some((Standing::Serving, Because::GivenBack)));
 }
--- a/crates/peers/tests/model.rs
+++ b/crates/peers/tests/model.rs
@@ -1,10 +1,11 @@
-//! Model checking of the coordinator: the states that the real code reaches under any order, loss, delay and
-//! doubling of its messages, with clocks as far apart as the bound allows, members that stall at any point (they
-//! are not called while time goes on) and members that are restarted. A message that is sent may be delivered at
-//! any later time and any number of times, or never.
+//! Model checking of the coordinator. The model runs the real code and explores the states that it reaches
+//! when messages are reordered, lost, delayed and duplicated, when clocks differ in speed as much as the
+//! configured drift allows, when members are suspended at any point (they are not called while time passes),
+//! and when members restart. A message may be delivered at any later time and any number of times, or never.
 //!
-//! Time goes in ticks that all clocks see; a tick is longer by some clocks than by others. What is bounded: ticks,
-//! restarts, and in the larger variants how many ticks a message may be under way.
+//! Time passes in ticks that all clocks observe. A tick is longer on some clocks than on others. The number
+//! of ticks and restarts is bounded, and in the larger variants also the number of ticks for which a message
+//! may be in flight.
 
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -14,39 +15,40 @@
 use peers::coordinator::{Coordinator, Input, Message, Output, Role, Term};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
-/// Longer than all ticks together: that discovery is out of reach is as old as that when the model begins.
+/// The outage threshold, longer than all ticks together. When the model starts, the outage has already lasted
+/// this long.
 const OUTAGE: u64 = 10_000;
-/// When the model begins, by all clocks: quarantine of the first processes is over.
+/// The time on all clocks when the model starts. The quarantine of the first processes has ended by then.
 const START: u64 = 2 * OUTAGE;
 const LEASE: u64 = 24;
 
-/// What is done wrong, to show that the model sees it.
+/// A deliberate error, to show that the model detects it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
-    /// A voter does not remember its promise (it is put back to where it was before).
+    /// A voter forgets its promise: after it grants a vote, its previous state is restored.
     ForgottenPromise,
-    /// A new process votes at once.
+    /// A new process votes without waiting for the end of its quarantine.
     NoQuarantine,
-    /// Clocks are further apart than members were told.
+    /// Clocks differ in speed by more than the configured drift.
     ExcessDrift,
-    /// A process's clock stands still while it does.
+    /// The clock of a suspended process stands still.
     StoppedClock,
 }
 
 #[derive(Debug, Clone)]
 struct Fleet {
     members: u16,
-    /// Those who stand: the first so many.
+    /// The number of members that may become candidates, counted from the first.
     candidates: u16,
-    /// How many milliseconds a tick takes by each clock.
+    /// The length of a tick in milliseconds, by each member's clock.
     tick_lengths: Vec<u64>,
     ticks: u8,
     restarts: u8,
-    /// How many ticks a message may be under way.
+    /// The number of ticks for which a request may be in flight.
     message_delay: u8,
-    /// The same for answers that do not come at once; 0: they are lost.
+    /// The same for replies that are not delivered at once. If zero, such replies are lost.
     reply_delay: u8,
-    /// Whether there is a list, and a server that two members saw draining.
+    /// Whether there is a list, with a server that two members observed draining.
     with_servers: bool,
     fault: Option<Fault>,
 }
@@ -56,13 +58,13 @@
     clock: u64,
     incarnation: u64,
     coordinator: Coordinator,
-    /// The highest term that it ever knew in this life.
+    /// The highest term that this process has known since its start.
     highest_term: Term,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Envelope {
-    /// Gone when this tick is over.
+    /// The last tick in which the message can be delivered.
     until: u8,
     from: u16,
     sender_incarnation: u64,
@@ -77,34 +79,37 @@
     net: Arc<BTreeSet<Envelope>>,
     ticks: u8,
     restarts: u8,
-    /// How many of the voters anything happened to.
+    /// The number of voters, beyond the candidates, that received a message or restarted.
     touched_voters: u16,
     discovery_back: bool,
-    /// A word or renewal went out without a lease.
+    /// A directive or renewal was sent without a lease.
     sent_without_lease: bool,
-    /// A word of an older term than the highest known was obeyed.
+    /// A directive of an older term than the highest known one was applied.
     stale_applied: bool,
-    /// What was seen to happen: taken office, taken office a second time, stood down, woke past its lease.
+    /// How many coordinators were elected, counted up to two.
     elections: u8,
+    /// A coordinator stepped down while its lease was valid.
     stepped_down: bool,
+    /// A coordinator found that its lease had expired.
     lease_lost: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Action {
     Tick,
-    /// Time goes on for all others: this one is stopped with its clock.
+    /// Time passes for all other members. This one is suspended, and its clock stands still.
     TickWithout(u16),
     Wake(u16),
-    /// The answer comes at once, or is late or lost.
+    /// Delivers a message. The flag says whether the reply is delivered at once, instead of late or never.
     Deliver(Envelope, bool),
     Restart(u16),
-    /// Discovery answers a member again.
+    /// A member reaches discovery again.
     DiscoveryBack(u16),
 }
 
-/// What may come late and twice. Answers change nothing when they come twice.
-fn is_unsolicited(message: &Message) -> bool {
+/// Whether a message is a request. Requests may be delivered late and more than once. Replies are delivered at
+/// most once, because a duplicate reply changes nothing.
+fn is_request(message: &Message) -> bool {
     use Message::{Directives, Renew, RequestVote, TermEnded};
     matches!(message, RequestVote { .. } | Renew { .. } | Directives { .. } | TermEnded { .. })
 }
@@ -143,7 +148,7 @@
 
 impl Fleet {
     fn node(&self, id: u16, incarnation: u64, clock: u64, state: &mut Option<&mut State>) -> Node {
-        // Without quarantine: as though it had begun long ago.
+        // A process that is to have no quarantine gets an early start time.
         let drift = if self.fault == Some(Fault::ExcessDrift) { 0.0 } else { 0.1 };
         let no_quarantine = self.fault == Some(Fault::NoQuarantine);
         let started_at = if no_quarantine || incarnation == 1 { clock - OUTAGE } else { clock };
@@ -163,7 +168,7 @@
             let down = |member| Input::DiscoveryReach { member: MemberId(member), reach: Reach::Down };
             inputs.extend((0..self.members).map(down));
         }
-        // All have heard of each other.
+        // The member has received a message from the first run of every other member.
         let heard = Message::TermEndedAck { term: Term::NONE };
         inputs.extend((0..self.members).map(|from| Input::Message {
             from: MemberId(from),
@@ -210,19 +215,19 @@
         let net = Arc::make_mut(&mut state.net);
         for output in outputs {
             match output {
-                // Lists have their own tests.
+                // The exchange of lists has tests of its own.
                 Output::Send { message: Message::List(_), .. } => {}
                 Output::Send { to, message } => {
                     vote_granted |= matches!(message, Message::GrantVote { .. });
                     let needs_lease = matches!(message, Message::Renew { .. } | Message::Directives { .. });
                     state.sent_without_lease |= needs_lease && !acting;
-                    let is_unsolicited = is_unsolicited(&message);
-                    if !is_unsolicited && reply_at_once {
+                    let is_request = is_request(&message);
+                    if !is_request && reply_at_once {
                         replies.push((to.0, message));
                         continue;
                     }
-                    let delay = if is_unsolicited { self.message_delay } else { self.reply_delay };
-                    if !is_unsolicited && delay == 0 {
+                    let delay = if is_request { self.message_delay } else { self.reply_delay };
+                    if !is_request && delay == 0 {
                         continue;
                     }
                     let until = (state.ticks + delay).min(self.ticks);
@@ -270,7 +275,7 @@
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        // Voters that nothing happened to are alike: the next one stands for all.
+        // Untouched voters are interchangeable, so only the next one needs to be considered.
         let is_representative = |id: u16| id <= self.candidates + state.touched_voters;
         if state.ticks < self.ticks {
             actions.push(Action::Tick);
@@ -279,7 +284,7 @@
             }
         }
         for (id, node) in (0..).zip(&state.nodes) {
-            // Voters' timers decide nothing: promises are looked at when a call comes.
+            // Timers of voters need no wake-up: a voter checks its promise when a vote request arrives.
             if id < self.candidates {
                 actions.push(Action::Wake(id));
             }
@@ -315,7 +320,7 @@
             Action::Wake(id) => self.step(&mut state, id, Input::Woke, true),
             Action::Deliver(envelope, reply_at_once) => {
                 let message = postcard::from_bytes(&envelope.message).expect("it decodes");
-                if !is_unsolicited(&message) {
+                if !is_request(&message) {
                     Arc::make_mut(&mut state.net).remove(&envelope);
                 }
                 let Envelope { from, sender_incarnation, to, .. } = envelope;
@@ -339,25 +344,27 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         let mut properties = vec![
-            Property::always("never two acting coordinators", |_, state: &State| {
+            Property::always("at most one acting coordinator", |_, state: &State| {
                 state.nodes.iter().filter(|node| node.coordinator.is_acting(node.clock)).count() <= 1
             }),
-            Property::always("a term has one holder, its own candidate", |_, state: &State| {
+            Property::always("only its own candidate holds a term", |_, state: &State| {
                 (0..).zip(&state.nodes).all(|(id, node)| {
                     let term = node.coordinator.term();
                     let own = term.candidate == MemberId(id) && term.incarnation == node.incarnation;
                     own || !node.coordinator.is_acting(node.clock)
                 })
             }),
-            Property::always("a word of an older term is never obeyed", |_, state: &State| {
+            Property::always("a directive of an older term is never applied", |_, state: &State| {
                 !state.stale_applied
             }),
-            Property::always("nobody speaks without a lease", |_, state: &State| !state.sent_without_lease),
-            Property::sometimes("one is elected", |_, state: &State| state.elections > 0),
-            Property::sometimes("one stands down", |_, state: &State| state.stepped_down),
+            Property::always("no renewal or directive is sent without a lease", |_, state: &State| {
+                !state.sent_without_lease
+            }),
+            Property::sometimes("a coordinator is elected", |_, state: &State| state.elections > 0),
+            Property::sometimes("a coordinator steps down", |_, state: &State| state.stepped_down),
         ];
         if self.with_servers {
-            properties.push(Property::sometimes("a word is obeyed", |fleet: &Fleet, state: &State| {
+            properties.push(Property::sometimes("a directive is applied", |fleet: &Fleet, state: &State| {
                 let voters = state.nodes.iter().skip(usize::from(fleet.candidates));
                 voters.into_iter().any(|node| !node.coordinator.withdrawn().is_empty())
             }));
@@ -366,7 +373,8 @@
     }
 }
 
-/// Two slow candidates, whose leases last longest, and fast voters, whose promises are over soonest.
+/// Two candidates with slow clocks, whose leases last longest, and voters with fast clocks, whose promises
+/// expire soonest.
 fn fleet(members: u16) -> Fleet {
     let tick_lengths = (0..members).map(|id| if id < 2 { 10 } else { 12 }).collect();
     Fleet {
@@ -382,8 +390,8 @@
     }
 }
 
-/// All states within the bounds, so many steps deep, with every property held.
-fn check(name: &str, steps: usize, fleet: Fleet) {
+/// Explores all states within the bounds, up to a depth of `steps`, and checks every property.
+fn check_properties(name: &str, steps: usize, fleet: Fleet) {
     let checker = fleet.checker().threads(3).target_max_depth(steps).spawn_bfs().join();
     println!(
         "{name}: {} states, {} of them different, {} steps deep",
@@ -394,46 +402,50 @@
     checker.assert_properties();
 }
 
-/// The model finds two acting coordinators.
+/// Checks that the model finds a state with two acting coordinators.
 fn expect_two_coordinators(fleet: Fleet) {
     let (members, fault) = (fleet.members, fleet.fault);
     let checker = fleet.checker().threads(3).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
     let (states, deep) = (checker.unique_state_count(), checker.max_depth());
     println!("{fault:?} among {members} members: found after {states} different states, {deep} steps deep");
-    checker.assert_any_discovery("never two acting coordinators");
+    checker.assert_any_discovery("at most one acting coordinator");
 }
 
 #[test]
 fn three_members_without_delay() {
-    check(
+    check_properties(
         "three members, all states of one tick",
         usize::MAX,
         Fleet { ticks: 1, message_delay: 0, ..fleet(3) },
     );
-    check("three members, two ticks", 13, Fleet { ticks: 2, message_delay: 0, ..fleet(3) });
+    check_properties("three members, two ticks", 13, Fleet { ticks: 2, message_delay: 0, ..fleet(3) });
 }
 
 #[test]
-fn three_members_with_late_and_doubled_messages_and_a_restart() {
-    check(
-        "three, late and doubled",
+fn three_members_with_late_and_duplicated_messages_and_a_restart() {
+    check_properties(
+        "three members, late and duplicated",
         10,
         Fleet { ticks: 4, message_delay: 4, reply_delay: 1, restarts: 1, ..fleet(3) },
     );
 }
 
 #[test]
-fn three_members_with_words() {
-    check("three, with words", 10, Fleet { ticks: 3, message_delay: 3, with_servers: true, ..fleet(3) });
+fn three_members_with_directives() {
+    check_properties(
+        "three members, with directives",
+        10,
+        Fleet { ticks: 3, message_delay: 3, with_servers: true, ..fleet(3) },
+    );
 }
 
 #[test]
 fn five_members_with_delay_and_a_restart() {
-    check("five members", 11, Fleet { ticks: 3, message_delay: 0, restarts: 1, ..fleet(5) });
+    check_properties("five members", 11, Fleet { ticks: 3, message_delay: 0, restarts: 1, ..fleet(5) });
 }
 
 #[test]
-fn a_model_that_forgets_promises_has_two_coordinators() {
+fn a_model_with_forgotten_promises_has_two_coordinators() {
     expect_two_coordinators(Fleet { message_delay: 0, fault: Some(Fault::ForgottenPromise), ..fleet(3) });
     expect_two_coordinators(Fleet { message_delay: 0, fault: Some(Fault::ForgottenPromise), ..fleet(5) });
 }
@@ -449,11 +461,11 @@
 }
 
 #[test]
-fn a_model_that_leaves_drift_out_has_two_coordinators() {
+fn a_model_with_excess_drift_has_two_coordinators() {
     expect_two_coordinators(Fleet { message_delay: 0, fault: Some(Fault::ExcessDrift), ..fleet(3) });
 }
 
 #[test]
-fn a_model_with_clocks_that_stop_has_two_coordinators() {
+fn a_model_with_stopped_clocks_has_two_coordinators() {
     expect_two_coordinators(Fleet { message_delay: 0, fault: Some(Fault::StoppedClock), ..fleet(3) });
 }
