--- a/crates/peers/tests/model.rs
+++ b/crates/peers/tests/model.rs
@@ -107,8 +107,8 @@
     DiscoveryBack(u16),
 }
 
-/// Whether a message is a request. Requests may be delivered late and more than once. Replies are delivered at
-/// most once, because a duplicate reply changes nothing.
+/// Whether a message is a request. Requests may be delivered late and more than once. Replies are delivered
+/// at most once, because a duplicate reply changes nothing.
 fn is_request(message: &Message) -> bool {
     use Message::{Directives, Renew, RequestVote, TermEnded};
     matches!(message, RequestVote { .. } | Renew { .. } | Directives { .. } | TermEnded { .. })
