--- a/crates/concert/src/api.rs
+++ b/crates/concert/src/api.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-use peers::api::{Asking, Because, Entry, Reach};
+use peers::api::{ChangeReason, PollingRate, Reachability, ServerEntry};
 use residency::Rules;
 use sagemast::api::{ClassId, Event, Millis, Settings, UpstreamId};
 
@@ -65,7 +65,7 @@
     /// A time that was asked for with [`Output::WakeAt`] has come.
     Woke,
     /// How discovery looks from here, whenever that changes.
-    Reach(Reach),
+    Reach(Reachability),
     /// The sidecar's own discovery told a list, or what changed in it; each name with the id that the module knows it by.
     /// To be handed over before the module is told, so that its sends are understood.
     Listed {
@@ -74,10 +74,10 @@
         /// Whether who is missing is gone.
         whole: bool,
         /// Its entries.
-        entries: Vec<(UpstreamId, Entry)>,
+        entries: Vec<(UpstreamId, ServerEntry)>,
     },
     /// Entries that came by [`Output::Entry`] have these ids.
-    Applied(Vec<(UpstreamId, Entry)>),
+    Applied(Vec<(UpstreamId, ServerEntry)>),
     /// The operators' file was read again: its rules of residency, if it has any.
     Reread(Option<Rules>),
     /// The module's classes from now on. To be handed over, and what comes of it to the module, before the module
@@ -93,9 +93,9 @@
     /// A server that a list named stands differently: apply this like a changed list and answer with [`Input::Applied`].
     Entry {
         /// The entry, with where it now stands.
-        entry: Entry,
+        entry: ServerEntry,
         /// Who says so.
-        why: Because,
+        why: ChangeReason,
     },
     /// Send a datagram.
     Send {
@@ -107,7 +107,7 @@
     /// Hand back [`Input::Woke`] then or soon after; an earlier one stays good.
     WakeAt(Millis),
     /// How to ask discovery from now on.
-    Ask(Asking),
+    Ask(PollingRate),
     /// A line for the operators.
     Note(String),
 }
@@ -116,7 +116,7 @@
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct View {
     /// Of the member, where there is one.
-    pub peers: Option<peers::View>,
+    pub peers: Option<peers::Stats>,
     /// The generation of the rules of residency that it holds, if it holds any.
     pub generation: Option<u64>,
     /// The generation that it waits for, if it does.
--- a/crates/concert/src/company.rs
+++ b/crates/concert/src/company.rs
@@ -1,7 +1,7 @@
 //! One sidecar's member and rules, and what passes between them and its module.
 
 use peers::Peer;
-use peers::api::{Entry, Fact, FactKind};
+use peers::api::{Fact, FactKind, ServerEntry};
 use residency::{Keeper, Rules};
 use sagemast::Balancer;
 use sagemast::api::{Action, ClassId, Event, Guidance, Millis, Safety, TenantId, UpstreamId};
@@ -99,7 +99,7 @@
                 self.roster.listed(whole, &entries);
                 entries.iter().for_each(|(_, entry)| self.rings.meet(&entry.zone));
                 let entries = entries.into_iter().map(|(_, entry)| entry).collect();
-                self.tell(now, peers::Input::Listed { version, whole, entries });
+                self.tell(now, peers::Input::ListUpdate { version, complete: whole, entries });
             }
             Input::Applied(entries) => self.applied(&entries),
             Input::Reread(rules) => self.reread(now, rules),
@@ -140,7 +140,7 @@
     pub fn view(&self) -> View {
         let keeper = self.keeper.as_ref();
         View {
-            peers: self.member.as_ref().map(|member| member.peer.view()),
+            peers: self.member.as_ref().map(|member| member.peer.stats()),
             generation: keeper.map(Keeper::generation).filter(|generation| *generation > 0),
             awaited: keeper.and_then(Keeper::awaits),
             entries_refused: self.entries_refused,
@@ -162,26 +162,27 @@
         let event = match output {
             peers::Output::Send { to, bytes } => return self.pending.push(Output::Send { to, bytes }),
             peers::Output::WakeAt(at) => return self.pending.push(Output::WakeAt(at as f64)),
-            peers::Output::Ask(asking) => return self.pending.push(Output::Ask(asking)),
-            peers::Output::Note(text) => return self.pending.push(Output::Note(text)),
-            peers::Output::Server { entry, why } => {
+            peers::Output::SetPolling(asking) => return self.pending.push(Output::Ask(asking)),
+            peers::Output::Log(text) => return self.pending.push(Output::Note(text)),
+            peers::Output::ServerChanged { entry, why } => {
                 if !self.roster.allows(&entry, why) {
                     return self.entries_refused += 1;
                 }
                 self.rings.meet(&entry.zone);
                 return self.pending.push(Output::Entry { entry, why });
             }
-            peers::Output::Heard { owner, fact } => {
-                if let Some(keeper) = self.keeper.as_mut().filter(|_| fact.kind == FactKind::RULES) {
+            peers::Output::FactReceived { owner, fact } => {
+                if let Some(keeper) = self.keeper.as_mut().filter(|_| fact.kind == FactKind::RESIDENCY_RULES)
+                {
                     keeper.heard(ms(now), owner.0, fact.key, &fact.body);
                 }
                 return;
             }
             peers::Output::Guidance(told) => self.guidance(&told),
-            peers::Output::Report { server, report, age } => self.roster.id(server).map(|upstream| {
+            peers::Output::LoadReport { server, report, age } => self.roster.id(server).map(|upstream| {
                 Event::Reported { upstream, report: guidance::report(report), age: age as f64 }
             }),
-            peers::Output::Tried { server, well } => {
+            peers::Output::EjectionProbeEnded { server, succeeded: well } => {
                 self.roster.id(server).map(|upstream| Event::Tried { upstream, well })
             }
         };
@@ -215,7 +216,7 @@
         let known =
             |server| Some(guidance::known(server, self.roster.key(server.upstream)?, work, &member.safety));
         let known = servers.iter().filter_map(known).collect();
-        self.tell(now, peers::Input::Counted(counted));
+        self.tell(now, peers::Input::Counts(counted));
         self.tell(now, peers::Input::Servers(known));
         learnt.into_iter().for_each(|learnt| self.learnt(now, learnt));
     }
@@ -223,18 +224,21 @@
     fn learnt(&mut self, now: Millis, learnt: Learnt) {
         let key = |id| self.roster.key(id);
         let input = match learnt {
-            Learnt::Saw(id, standing) => key(id).map(|server| peers::Input::Saw { server, standing }),
-            Learnt::Tried(id, well) => key(id).map(|server| peers::Input::Tried { server, well }),
-            Learnt::Reported(id, report) => {
-                key(id).map(|server| peers::Input::Reported { server, report: guidance::report_out(report) })
+            Learnt::Saw(id, standing) => {
+                key(id).map(|server| peers::Input::ServerObserved { server, state: standing })
             }
+            Learnt::Tried(id, well) => {
+                key(id).map(|server| peers::Input::EjectionProbeEnded { server, succeeded: well })
+            }
+            Learnt::Reported(id, report) => key(id)
+                .map(|server| peers::Input::LoadReported { server, report: guidance::report_out(report) }),
         };
         if let Some(input) = input {
             self.tell(now, input);
         }
     }
 
-    fn applied(&mut self, entries: &[(UpstreamId, Entry)]) {
+    fn applied(&mut self, entries: &[(UpstreamId, ServerEntry)]) {
         for (id, entry) in entries {
             self.roster.apply(*id, entry);
             self.rings.meet(&entry.zone);
@@ -269,7 +273,7 @@
 
     /// Passes on what is new about the rules: to the other members, the operators and the module.
     fn rules(&mut self, now: Millis) {
-        let heard = self.member.as_ref().is_some_and(|member| member.peer.view().datagrams_in > 0);
+        let heard = self.member.as_ref().is_some_and(|member| member.peer.stats().datagrams_in > 0);
         let Some(keeper) = &mut self.keeper else { return };
         if keeper.listens_until(ms(now)).is_some() {
             keeper.listening(ms(now), heard);
@@ -281,7 +285,7 @@
         }
         if self.member.is_some() {
             for (key, body) in keeper.news() {
-                self.tell(now, peers::Input::Publish(Fact { kind: FactKind::RULES, key, body }));
+                self.tell(now, peers::Input::Publish(Fact { kind: FactKind::RESIDENCY_RULES, key, body }));
             }
         }
         let Some(keeper) = &mut self.keeper else { return };
--- a/crates/concert/src/company/tests.rs
+++ b/crates/concert/src/company/tests.rs
@@ -4,7 +4,8 @@
 use std::net::SocketAddr;
 
 use peers::api::{
-    Because, Budgets, ClassWorth, Config, MemberId, Reach, RegionId, ServerKey, Standing, Timing,
+    Budgets, ChangeReason, ClassPriority, Config, MemberId, Reachability, RegionId, ServerKey, ServerState,
+    Timing,
 };
 use proptest::prelude::*;
 use residency::{ClassFacts, Context, Keeper, Rules};
@@ -50,9 +51,9 @@
         me: MemberId(me),
         members: (0..3).map(member).collect(),
         regions: vec!["west".to_owned()],
-        classes: vec![ClassWorth { worth: 1.0, by_work: false }; 2],
+        classes: vec![ClassPriority { priority_weight: 1.0, per_work_unit: false }; 2],
         class_floor: 0.02,
-        budgets: Budgets { retries: 0.1, copies: 0.0 },
+        budgets: Budgets { retries: 0.1, hedges: 0.0 },
         timing: Timing::default(),
     }
 }
@@ -85,14 +86,14 @@
     }
 }
 
-fn entry(server: u64, zone: usize, standing: Standing, started_ms: f64) -> Entry {
-    Entry {
+fn entry(server: u64, zone: usize, standing: ServerState, started_ms: f64) -> ServerEntry {
+    ServerEntry {
         host: format!("h{server}"),
         dial: address(100 + server as u16),
         zone: ZONES[zone].to_owned(),
         kind: "k".to_owned(),
         cell: 0,
-        standing,
+        state: standing,
         weight: 2.0,
         started_ms,
     }
@@ -104,9 +105,9 @@
     module: Balancer,
     now: Millis,
     zones: Vec<String>,
-    servers: BTreeMap<UpstreamId, Entry>,
+    servers: BTreeMap<UpstreamId, ServerEntry>,
     /// What its own discovery told last, with the server's life.
-    own: BTreeMap<String, (Standing, f64)>,
+    own: BTreeMap<String, (ServerState, f64)>,
     requests: u64,
     sent: Vec<(RequestId, UpstreamId)>,
     out: Vec<(SocketAddr, Vec<u8>)>,
@@ -156,13 +157,13 @@
         actions
     }
 
-    fn listing(&self, id: UpstreamId, entry: &Entry) -> Listing {
+    fn listing(&self, id: UpstreamId, entry: &ServerEntry) -> Listing {
         Listing {
             upstream: id,
             zone: ZoneId(sagemast::settings::number_of(&self.zones, &entry.zone)),
             cell: CellId(entry.cell),
             kind: KindId(0),
-            lifecycle: if entry.standing == Standing::Serving {
+            lifecycle: if entry.state == ServerState::Serving {
                 Lifecycle::Serving
             } else {
                 Lifecycle::Leaving
@@ -172,9 +173,9 @@
         }
     }
 
-    fn apply(&mut self, entry: Entry) {
+    fn apply(&mut self, entry: ServerEntry) {
         if let Some((told, life)) = self.own.get(&entry.host) {
-            let resurrects = entry.standing == Standing::Serving && *told != Standing::Serving;
+            let resurrects = entry.state == ServerState::Serving && *told != ServerState::Serving;
             assert!(!resurrects || entry.started_ms > *life, "{entry:?} was told {told:?}");
         }
         let id = UpstreamId(entry.host[1..].parse().expect("a number"));
@@ -184,15 +185,18 @@
         self.event(Event::Listed(ListNews::Changed(vec![listing])));
     }
 
-    fn list(&mut self, whole: bool, entries: Vec<Entry>) {
+    fn list(&mut self, whole: bool, entries: Vec<ServerEntry>) {
         if whole {
             let named = |host: &String| entries.iter().any(|entry| entry.host == *host);
-            self.own.iter_mut().filter(|(host, _)| !named(host)).for_each(|(_, own)| own.0 = Standing::Gone);
+            self.own
+                .iter_mut()
+                .filter(|(host, _)| !named(host))
+                .for_each(|(_, own)| own.0 = ServerState::Gone);
         }
-        let id = |entry: &Entry| UpstreamId(entry.host[1..].parse().expect("a number"));
+        let id = |entry: &ServerEntry| UpstreamId(entry.host[1..].parse().expect("a number"));
         let entries: Vec<_> = entries.into_iter().map(|entry| (id(&entry), entry)).collect();
         for (id, entry) in &entries {
-            self.own.insert(entry.host.clone(), (entry.standing, entry.started_ms));
+            self.own.insert(entry.host.clone(), (entry.state, entry.started_ms));
             self.servers.insert(*id, entry.clone());
         }
         let listings = entries.iter().map(|(id, entry)| self.listing(*id, entry)).collect();
@@ -244,7 +248,7 @@
 #[derive(Debug, Clone)]
 enum Step {
     Said(Said),
-    Listed(bool, Vec<(u64, usize, Standing, f64)>),
+    Listed(bool, Vec<(u64, usize, ServerState, f64)>),
     Request(usize),
     End(bool),
     Wait(f64),
@@ -252,7 +256,7 @@
 
 #[derive(Debug, Clone)]
 enum Said {
-    Server(u64, usize, Standing, f64, Because),
+    Server(u64, usize, ServerState, f64, ChangeReason),
     Guidance(f64, f64, Vec<u64>),
     Tried(u64, bool),
     Report(u64, f32),
@@ -260,12 +264,16 @@
     Rules(u64, usize),
 }
 
-fn standing() -> impl Strategy<Value = Standing> {
-    prop_oneof![2 => Just(Standing::Serving), 1 => Just(Standing::Draining), 1 => Just(Standing::Gone)]
+fn standing() -> impl Strategy<Value = ServerState> {
+    prop_oneof![2 => Just(ServerState::Serving), 1 => Just(ServerState::Draining), 1 => Just(ServerState::Gone)]
 }
 
 fn said() -> impl Strategy<Value = Said> {
-    let why = prop_oneof![Just(Because::NewerList), Just(Because::Withdrawn), Just(Because::GivenBack)];
+    let why = prop_oneof![
+        Just(ChangeReason::NewerList),
+        Just(ChangeReason::Withdrawn),
+        Just(ChangeReason::Restored)
+    ];
     let figure = || prop_oneof![Just(f64::NAN), Just(-1.0), Just(1e300), 0.0..1.0];
     prop_oneof![
         4 => (0..9_u64, 0..4_usize, standing(), 0..3_u32, why)
@@ -298,38 +306,40 @@
         let mut told = Vec::new();
         match said {
             Said::Server(id, zone, standing, life, why) => {
-                told.push(peers::Output::Server { entry: entry(id, zone, standing, life), why })
+                told.push(peers::Output::ServerChanged { entry: entry(id, zone, standing, life), why })
             }
             Said::Guidance(one, other, ids) => {
                 let keys: Vec<ServerKey> = ids.iter().map(|id| key(*id)).collect();
-                let lease = peers::api::ColdLease { requests: 3, until: ms(now) + 300 };
+                let lease = peers::api::SlowStartLease { requests: 3, until: ms(now) + 300 };
                 told.push(peers::Output::Guidance(peers::api::Guidance {
                     admit: vec![one, other],
                     retries: Some(peers::api::Allowance { share: one, burst: 2 }),
-                    probes: Some(keys.clone()),
-                    trials: Some(keys.clone()),
-                    cold: Some(keys.into_iter().map(|key| (key, lease)).collect()),
-                    come_back: Some([one, other]),
+                    load_polls: Some(keys.clone()),
+                    ejection_probes: Some(keys.clone()),
+                    slow_start: Some(keys.into_iter().map(|key| (key, lease)).collect()),
+                    retry_after_range: Some([one, other]),
                     ..peers::api::Guidance::default()
                 }));
             }
-            Said::Tried(id, well) => told.push(peers::Output::Tried { server: key(id), well }),
+            Said::Tried(id, well) => {
+                told.push(peers::Output::EjectionProbeEnded { server: key(id), succeeded: well })
+            }
             Said::Report(id, figure) => {
-                let report = peers::api::Report {
+                let report = peers::api::LoadReport {
                     in_flight: Some(figure),
                     utilisation: Some(figure),
                     served_per_s: None,
                 };
-                told.push(peers::Output::Report { server: key(id), report, age: 30 });
+                told.push(peers::Output::LoadReport { server: key(id), report, age: 30 });
             }
             Said::Fact(owner, key, body) => {
-                let fact = Fact { kind: FactKind::RULES, key, body };
-                told.push(peers::Output::Heard { owner: MemberId(owner), fact });
+                let fact = Fact { kind: FactKind::RESIDENCY_RULES, key, body };
+                told.push(peers::Output::FactReceived { owner: MemberId(owner), fact });
             }
             Said::Rules(generation, zones) => {
                 let keeper = Keeper::among(&rules(generation, &["a", "b"][..zones]), 1, 9, 0);
-                let fact = |(key, body)| Fact { kind: FactKind::RULES, key, body };
-                let heard = |fact| peers::Output::Heard { owner: MemberId(1), fact };
+                let fact = |(key, body)| Fact { kind: FactKind::RESIDENCY_RULES, key, body };
+                let heard = |fact| peers::Output::FactReceived { owner: MemberId(1), fact };
                 told.extend(keeper.facts().into_iter().map(fact).map(heard));
             }
         }
@@ -350,14 +360,14 @@
     #[test]
     fn whatever_peers_say_rings_and_drains_hold(steps in prop::collection::vec(step(), 1..80)) {
         let mut sidecar = Sidecar::new(0, Some(rules(5, &["a", "b"])));
-        sidecar.list(true, (0..8).map(|id| entry(id, id as usize % 4, Standing::Serving, 0.0)).collect());
+        sidecar.list(true, (0..8).map(|id| entry(id, id as usize % 4, ServerState::Serving, 0.0)).collect());
         sidecar.now = 5_000.0;
         for step in steps {
             match step {
                 Step::Said(said) => sidecar.say(said),
                 Step::Listed(whole, list) => {
                     // A list names each server once.
-                    let entries: BTreeMap<u64, Entry> = list
+                    let entries: BTreeMap<u64, ServerEntry> = list
                         .into_iter()
                         .map(|(id, zone, standing, life)| (id, entry(id, zone, standing, life)))
                         .collect();
@@ -397,7 +407,7 @@
 #[test]
 fn two_sidecars_share_rules_duties_and_drains() {
     let mut pair = [Sidecar::new(0, Some(rules(5, &["a"]))), Sidecar::new(1, None)];
-    let list = || (0..6).map(|id| entry(id, id as usize % 2, Standing::Serving, 0.0)).collect();
+    let list = || (0..6).map(|id| entry(id, id as usize % 2, ServerState::Serving, 0.0)).collect();
     pair.iter_mut().for_each(|sidecar| sidecar.list(true, list()));
     assert!(pair[1].request(ClassId(0)).is_some(), "it knows of no rules yet");
     pair[1].end(Outcome::Ok);
@@ -420,10 +430,10 @@
         assert_eq!(duties.len(), 6, "two ask each server, and there are two");
     }
     // The first one's list is newer and says that a server drains.
-    let drains = [entry(3, 1, Standing::Draining, 0.0)];
+    let drains = [entry(3, 1, ServerState::Draining, 0.0)];
     let entries = drains.iter().map(|entry| (UpstreamId(3), entry.clone())).collect();
     pair[0].input(Input::Listed { version: 2, whole: false, entries });
-    pair[1].input(Input::Reach(Reach::Down));
+    pair[1].input(Input::Reach(Reachability::Down));
     play(&mut pair, 4_000);
-    assert_eq!(pair[1].servers[&UpstreamId(3)].standing, Standing::Draining, "told by a peer");
+    assert_eq!(pair[1].servers[&UpstreamId(3)].state, ServerState::Draining, "told by a peer");
 }
--- a/crates/concert/src/counts.rs
+++ b/crates/concert/src/counts.rs
@@ -58,7 +58,7 @@
             Event::Arrived { request, class, repeat, .. } => {
                 if let Some(base) = self.base(*class) {
                     let count = &mut self.done[base];
-                    *(if *repeat { &mut count.repeats } else { &mut count.first_tries }) += 1;
+                    *(if *repeat { &mut count.client_retries } else { &mut count.first_attempts }) += 1;
                     self.open.entry(*request).or_insert(Open { base, arrived: now, sends: 0 });
                 }
             }
@@ -85,7 +85,7 @@
                     let count = &mut self.done[open.base];
                     match open.sends {
                         0 => {}
-                        _ if copy => count.copies += 1,
+                        _ if copy => count.hedges += 1,
                         _ => count.retries += 1,
                     }
                     open.sends += 1;
@@ -95,7 +95,7 @@
                     if let Some(open) = self.open.remove(request)
                         && *reason != Reason::Residency
                     {
-                        self.done[open.base].refused += 1;
+                        self.done[open.base].rejected += 1;
                     }
                 }
                 Action::Fail(request) => {
@@ -116,9 +116,9 @@
         let (mut arrivals, mut work) = (0.0, 0.0);
         for (base, count) in self.done.iter_mut().enumerate() {
             let (time, known) = service(ClassId(base)).unwrap_or((0.0, false));
-            count.held = held[base];
+            count.in_flight = held[base];
             count.service_ms = if known { time } else { 0.0 };
-            let came = f64::from(count.first_tries) + f64::from(count.repeats);
+            let came = f64::from(count.first_attempts) + f64::from(count.client_retries);
             (arrivals, work) = (arrivals + came, work + came * time);
         }
         if arrivals > 0.0 {
--- a/crates/concert/src/counts/tests.rs
+++ b/crates/concert/src/counts/tests.rs
@@ -19,7 +19,7 @@
         let arrived = Event::Arrived { request, class, tenant, time_left: 500.0, repeat: false };
         counts.observed(0.0, &arrived, &[Action::Refuse { request, retry_after: 0.0, reason }]);
     }
-    counts.take(|_| None).iter().map(|count| count.refused).sum()
+    counts.take(|_| None).iter().map(|count| count.rejected).sum()
 }
 
 #[test]
--- a/crates/concert/src/evidence.rs
+++ b/crates/concert/src/evidence.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use peers::api::Standing;
+use peers::api::ServerState;
 use sagemast::api::*;
 
 /// A server counts as gone when so many sends in a row found no connection, the first and the last of them this far
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum Learnt {
     /// A server stands differently than lists say, or as they say after all.
-    Saw(UpstreamId, Standing),
+    Saw(UpstreamId, ServerState),
     /// A trial of an ejected server ended.
     Tried(UpstreamId, bool),
     /// A server told its load.
@@ -75,7 +75,7 @@
                 *count += 1;
                 if *count >= REFUSED && now >= *first + APART {
                     self.gone.insert(id);
-                    learnt.push(Learnt::Saw(id, Standing::Gone));
+                    learnt.push(Learnt::Saw(id, ServerState::Gone));
                 }
             }
             Outcome::Ok | Outcome::Error | Outcome::Full => self.answered(id, learnt),
@@ -96,7 +96,7 @@
     fn answered(&mut self, id: UpstreamId, learnt: &mut Vec<Learnt>) {
         self.refused.remove(&id);
         if self.gone.remove(&id) {
-            learnt.push(Learnt::Saw(id, Standing::Serving));
+            learnt.push(Learnt::Saw(id, ServerState::Serving));
         }
     }
 
--- a/crates/concert/src/guidance.rs
+++ b/crates/concert/src/guidance.rs
@@ -12,17 +12,17 @@
 pub(crate) fn for_module(told: &fleet::Guidance, bases: &[usize], roster: &Roster) -> Guidance {
     let chance = |base: &usize| told.admit.get(*base).copied().map_or(1.0, share);
     let ids = |keys: &Vec<fleet::ServerKey>| keys.iter().filter_map(|key| roster.id(*key)).collect();
-    let lease = |(key, lease): (&fleet::ServerKey, &fleet::ColdLease)| {
+    let lease = |(key, lease): (&fleet::ServerKey, &fleet::SlowStartLease)| {
         Some((roster.id(*key)?, ColdLease { requests: lease.requests, until: lease.until as f64 }))
     };
     Guidance {
         admit: if told.admit.is_empty() { Vec::new() } else { bases.iter().map(chance).collect() },
         retries: told.retries.map(allowance),
-        copies: told.copies.map(allowance),
-        probes: told.probes.as_ref().map(ids),
-        trials: told.trials.as_ref().map(ids),
-        cold: told.cold.as_ref().map(|cold| cold.iter().filter_map(lease).collect()),
-        come_back: told.come_back.map(|slice| slice.map(share)),
+        copies: told.hedges.map(allowance),
+        probes: told.load_polls.as_ref().map(ids),
+        trials: told.ejection_probes.as_ref().map(ids),
+        cold: told.slow_start.as_ref().map(|cold| cold.iter().filter_map(lease).collect()),
+        come_back: told.retry_after_range.map(|slice| slice.map(share)),
     }
 }
 
@@ -37,7 +37,7 @@
 }
 
 /// A report in the module's terms.
-pub(crate) fn report(told: fleet::Report) -> Report {
+pub(crate) fn report(told: fleet::LoadReport) -> Report {
     let figure = |figure: Option<f32>| figure.filter(|figure| figure.is_finite()).map(f64::from);
     Report {
         in_flight: figure(told.in_flight),
@@ -48,9 +48,9 @@
 }
 
 /// A report in the fleet's terms.
-pub(crate) fn report_out(seen: Report) -> fleet::Report {
+pub(crate) fn report_out(seen: Report) -> fleet::LoadReport {
     let figure = |figure: Option<f64>| figure.filter(|figure| figure.is_finite()).map(|figure| figure as f32);
-    fleet::Report {
+    fleet::LoadReport {
         in_flight: figure(seen.in_flight),
         utilisation: figure(seen.utilisation),
         served_per_s: figure(seen.served_per_s),
@@ -63,14 +63,19 @@
 /// chance sent, counted, the fullest window had 0.9 of the bound (`docs/incidents/cold-servers-counted.md`).
 ///
 /// `work` is how long a mean server takes for the mean request, in milliseconds.
-pub(crate) fn known(server: &Known, key: fleet::ServerKey, work: Millis, safety: &Safety) -> fleet::Known {
+pub(crate) fn known(
+    server: &Known,
+    key: fleet::ServerKey,
+    work: Millis,
+    safety: &Safety,
+) -> fleet::KnownServer {
     let requests =
         COLD_MARGIN * safety.fall_multiple * server.warmth * server.size * safety.fall / work.max(1.0);
-    fleet::Known {
+    fleet::KnownServer {
         server: key,
         started: server.started.map(|started| started.max(0.0) as u64),
-        cold_requests: if requests.is_finite() { requests.max(0.0) } else { 0.0 },
-        cold_window: safety.fall.max(1.0) as u64,
+        slow_start_requests: if requests.is_finite() { requests.max(0.0) } else { 0.0 },
+        slow_start_window: safety.fall.max(1.0) as u64,
         ejected: server.ejected,
     }
 }
--- a/crates/concert/src/roster.rs
+++ b/crates/concert/src/roster.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use peers::api::{Because, Entry, ServerKey, Standing};
+use peers::api::{ChangeReason, ServerEntry, ServerKey, ServerState};
 use sagemast::api::UpstreamId;
 
 /// Names of servers that are gone are forgotten when there are more than this many names.
@@ -12,9 +12,9 @@
 #[derive(Debug)]
 struct Named {
     id: UpstreamId,
-    standing: Standing,
+    standing: ServerState,
     /// What the sidecar's own discovery told last, and of which life.
-    told: Option<(Standing, f64)>,
+    told: Option<(ServerState, f64)>,
     /// Whether a coordinator's word withdrew it.
     withdrawn: bool,
 }
@@ -28,60 +28,60 @@
 
 impl Roster {
     /// Takes in what the sidecar's own discovery told: its word ends all withdrawals.
-    pub fn listed(&mut self, whole: bool, entries: &[(UpstreamId, Entry)]) {
+    pub fn listed(&mut self, whole: bool, entries: &[(UpstreamId, ServerEntry)]) {
         let told: BTreeSet<ServerKey> = entries.iter().map(|(_, entry)| ServerKey::of(&entry.host)).collect();
         if whole {
             for (_, named) in self.named.iter_mut().filter(|(key, _)| !told.contains(key)) {
-                named.standing = Standing::Gone;
-                named.told = named.told.map(|(_, started)| (Standing::Gone, started));
+                named.standing = ServerState::Gone;
+                named.told = named.told.map(|(_, started)| (ServerState::Gone, started));
             }
         }
         for (id, entry) in entries {
             let named = self.applied(*id, entry);
-            (named.told, named.withdrawn) = (Some((entry.standing, entry.started_ms)), false);
+            (named.told, named.withdrawn) = (Some((entry.state, entry.started_ms)), false);
         }
         if self.named.len() > NAMES {
-            self.named.retain(|_, named| named.standing != Standing::Gone);
+            self.named.retain(|_, named| named.standing != ServerState::Gone);
             self.keys.retain(|_, key| self.named.contains_key(key));
         }
     }
 
     /// Takes in an entry that the sidecar applied, whoever it came from.
-    pub fn apply(&mut self, id: UpstreamId, entry: &Entry) {
+    pub fn apply(&mut self, id: UpstreamId, entry: &ServerEntry) {
         self.applied(id, entry);
     }
 
-    fn applied(&mut self, id: UpstreamId, entry: &Entry) -> &mut Named {
+    fn applied(&mut self, id: UpstreamId, entry: &ServerEntry) -> &mut Named {
         let key = ServerKey::of(&entry.host);
         self.keys.insert(id, key);
         let named = self.named.entry(key).or_insert(Named {
             id,
-            standing: entry.standing,
+            standing: entry.state,
             told: None,
             withdrawn: false,
         });
-        (named.id, named.standing) = (id, entry.standing);
+        (named.id, named.standing) = (id, entry.state);
         named
     }
 
     /// Whether an entry of peers may be applied; it is then taken for applied. Never one that brings back a server that
     /// the sidecar's own discovery said leaves, unless it has started anew since; never a withdrawal or its end for one
     /// that no list has named here; and only what was withdrawn is given back.
-    pub fn allows(&mut self, entry: &Entry, why: Because) -> bool {
-        let serving = entry.standing == Standing::Serving;
+    pub fn allows(&mut self, entry: &ServerEntry, why: ChangeReason) -> bool {
+        let serving = entry.state == ServerState::Serving;
         let Some(named) = self.named.get_mut(&ServerKey::of(&entry.host)) else {
-            return why == Because::NewerList;
+            return why == ChangeReason::NewerList;
         };
         let leaves = named.told.is_some_and(|(told, life)| {
-            told != Standing::Serving && !(entry.started_ms > life && why == Because::NewerList)
+            told != ServerState::Serving && !(entry.started_ms > life && why == ChangeReason::NewerList)
         });
         let allowed = match why {
-            Because::NewerList => !(serving && leaves),
-            Because::Withdrawn => !serving,
-            Because::GivenBack => serving && !leaves && named.withdrawn,
+            ChangeReason::NewerList => !(serving && leaves),
+            ChangeReason::Withdrawn => !serving,
+            ChangeReason::Restored => serving && !leaves && named.withdrawn,
         };
         if allowed {
-            (named.standing, named.withdrawn) = (entry.standing, why == Because::Withdrawn);
+            (named.standing, named.withdrawn) = (entry.state, why == ChangeReason::Withdrawn);
         }
         allowed
     }
--- a/crates/node/src/engine/company.rs
+++ b/crates/node/src/engine/company.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use ::peers::api::{Asking, Entry as Told, Reach, Standing};
+use ::peers::api::{PollingRate, Reachability, ServerEntry as Told, ServerState};
 use ::peers::coordinator::Role;
 use ::residency::Rules;
 use concert::{Company, Input, Output, View};
@@ -52,10 +52,10 @@
                 ("level", peers.level),
                 ("coordinates", f64::from(u8::from(peers.role == Role::Coordinator))),
                 ("term", peers.term.number as f64),
-                ("words_refused", peers.refused_words as f64),
+                ("words_refused", peers.stale_rejected as f64),
                 ("datagrams_in", peers.datagrams_in as f64),
                 ("datagrams_out", peers.datagrams_out as f64),
-                ("datagrams_refused", (peers.refused_datagrams + losses.strangers) as f64),
+                ("datagrams_refused", (peers.dropped_datagrams + losses.strangers) as f64),
                 ("datagrams_lost", (losses.unheard + losses.unsent + losses.failed) as f64),
             ]);
         }
@@ -80,11 +80,11 @@
                 Role::Candidate => "stands",
                 Role::Coordinator => "coordinates",
             };
-            let (term, refused) = (peers.term.number, peers.refused_words);
+            let (term, refused) = (peers.term.number, peers.stale_rejected);
             words.push(format!("fleet living={living}/{members} level={level:.2}"));
             words.push(format!("role={role} term={term} words_refused={refused}"));
             words.push(format!("datagrams in={} out={}", peers.datagrams_in, peers.datagrams_out));
-            words.push(format!("refused={} strangers={strangers}", peers.refused_datagrams));
+            words.push(format!("refused={} strangers={strangers}", peers.dropped_datagrams));
             words.push(format!("unheard={unheard} unsent={unsent} failed={failed}"));
         }
         if let Some(generation) = view.generation {
@@ -169,9 +169,9 @@
                     self.set_timer(at, Timer::Company);
                 }
                 Output::Ask(asking) => self.pace(match asking {
-                    Asking::Usual => Pace::Usual,
-                    Asking::Often => Pace::Often,
-                    Asking::Seldom => Pace::Seldom,
+                    PollingRate::Normal => Pace::Usual,
+                    PollingRate::Frequent => Pace::Often,
+                    PollingRate::Infrequent => Pace::Seldom,
                 }),
                 Output::Note(note) => info!("fleet: {note}"),
             }
@@ -210,7 +210,7 @@
     }
 
     /// Discovery is in reach, or out of it.
-    pub(super) fn reach(&mut self, reach: Reach) {
+    pub(super) fn reach(&mut self, reach: Reachability) {
         self.tell_company(Input::Reach(reach));
     }
 
@@ -221,8 +221,8 @@
 
     /// What a peer or the coordinator says of a server that a list named, applied like a changed list.
     fn apply(&mut self, told: Told) {
-        let Told { host, dial, zone, kind, cell, standing, weight, started_ms } = told.clone();
-        let serving = standing == Standing::Serving;
+        let Told { host, dial, zone, kind, cell, state: standing, weight, started_ms } = told.clone();
+        let serving = standing == ServerState::Serving;
         let entry = Entry { host, dial, zone, kind, cell, serving, weight, started_ms };
         let basis = self.basis_by_peer(&entry);
         let listing = self.update(&entry, basis);
@@ -241,8 +241,8 @@
 /// An entry as members tell it.
 pub(super) fn told(entry: &Entry) -> Told {
     let Entry { host, dial, zone, kind, cell, serving, weight, started_ms } = entry.clone();
-    let standing = if serving { Standing::Serving } else { Standing::Draining };
-    Told { host, dial, zone, kind, cell, standing, weight, started_ms }
+    let standing = if serving { ServerState::Serving } else { ServerState::Draining };
+    Told { host, dial, zone, kind, cell, state: standing, weight, started_ms }
 }
 
 impl Server {
--- a/crates/node/src/engine/mod.rs
+++ b/crates/node/src/engine/mod.rs
@@ -26,7 +26,7 @@
 use std::sync::{Arc, Weak};
 use std::time::Duration;
 
-use ::peers::api::Reach;
+use ::peers::api::Reachability;
 use ::residency::Rules;
 use anyhow::{Context, Result};
 use routes::Table;
@@ -89,7 +89,7 @@
     /// Datagrams of other members wait.
     Mail,
     /// Discovery is in reach or out of it.
-    Reach(Reach),
+    Reach(Reachability),
     /// Other rules of residency are in force from now on.
     Ruled(Option<Rules>),
 }
--- a/crates/node/src/engine/roster.rs
+++ b/crates/node/src/engine/roster.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-use ::peers::api::Reach;
+use ::peers::api::Reachability;
 use listclock::Pace;
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinHandle;
@@ -138,7 +138,7 @@
     }
 
     /// The source is in reach, or out of it. Heard only where a fleet wants to know.
-    pub fn reach(&self, reach: Reach) {
+    pub fn reach(&self, reach: Reachability) {
         if self.pace.is_some() {
             let _ = self.happenings.send(Happening::Reach(reach));
         }
--- a/crates/node/src/operator/peers.rs
+++ b/crates/node/src/operator/peers.rs
@@ -223,10 +223,13 @@
                 })
                 .collect::<Result<_>>()?,
             classes: classes
-                .map(|class| api::ClassWorth { worth: class.worth, by_work: told.worth_by_work })
+                .map(|class| api::ClassPriority {
+                    priority_weight: class.worth,
+                    per_work_unit: told.worth_by_work,
+                })
                 .collect(),
             class_floor: self.class_floor,
-            budgets: api::Budgets { retries: self.budgets.retries, copies: self.budgets.copies },
+            budgets: api::Budgets { retries: self.budgets.retries, hedges: self.budgets.copies },
             timing: api::Timing {
                 period: period_ms,
                 suspect: suspect_ms,
--- a/crates/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use ::peers::api::DATAGRAM_BYTES;
+use ::peers::api::MAX_DATAGRAM_BYTES;
 use anyhow::{Context, Result};
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
@@ -113,7 +113,7 @@
 async fn run(socket: UdpSocket, shared: Arc<Shared>) {
     let receive = async {
         // One byte more than there may be: what is longer is seen to be.
-        let mut buffer = [0; DATAGRAM_BYTES + 1];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             // Errors are those of datagrams sent to a port where nobody listens, and concern no other.
             if let Ok((size, from)) = socket.recv_from(&mut buffer).await {
--- a/crates/node/src/rosters/discovery.rs
+++ b/crates/node/src/rosters/discovery.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use ::peers::api::Reach;
+use ::peers::api::Reachability;
 use anyhow::{Context, Result, bail};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
@@ -96,7 +96,7 @@
     /// How eagerly it is asked, where a fleet decides on it.
     pace: Option<watch::Receiver<Pace>>,
     /// Whether discovery answers, as it was told last.
-    reach: Option<Reach>,
+    reach: Option<Reachability>,
     /// When it said last, by a list or by an empty line behind one, how its list stands.
     heard_at: Option<Instant>,
 }
@@ -158,7 +158,7 @@
                 let Err(end) = self.once().await;
                 // Before it is answered a call has failed; after it, the next call shows whether discovery is there.
                 if self.clock.is_calling() {
-                    self.reach(Reach::Down);
+                    self.reach(Reachability::Down);
                 }
                 self.clock.observe(self.millis(), ListEvent::Ended);
                 log::line(format!("discovery: {end:#}"));
@@ -184,7 +184,7 @@
                 return Ok(came);
             }
             if self.clock.poll(self.millis()) == Some(Command::GiveUp) {
-                self.reach(Reach::Down);
+                self.reach(Reachability::Down);
                 bail!("{what}");
             }
         }
@@ -207,7 +207,7 @@
             bail!("answered {}", response.status());
         }
         self.clock.observe(self.millis(), ListEvent::Answered);
-        self.reach(Reach::Up);
+        self.reach(Reachability::Up);
         // It is told once, with the watch's first list.
         let mut source_clock = clock_reading(response.headers(), asked_at);
         let mut has_told = false;
@@ -239,7 +239,7 @@
     }
 
     /// Tells whether discovery answers, whenever that changes.
-    fn reach(&mut self, reach: Reach) {
+    fn reach(&mut self, reach: Reachability) {
         if self.reach.replace(reach) != Some(reach) {
             self.news.reach(reach);
         }
--- a/crates/peers/src/api.rs
+++ b/crates/peers/src/api.rs
@@ -57,7 +57,7 @@
     /// The names of the regions.
     pub regions: Vec<String>,
     /// What a request of each class earns, by its place in the settings; for the order in which classes are shed.
-    pub classes: Vec<ClassWorth>,
+    pub classes: Vec<ClassPriority>,
     /// The share of a class that is let in however much is shed, so that none is shut out.
     pub class_floor: f64,
     /// The further sends that the fleet may make, as shares of its first tries.
@@ -68,11 +68,11 @@
 
 /// What a class's requests are worth.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ClassWorth {
+pub struct ClassPriority {
     /// Worth of a request, or of a unit of work where the platform counts so.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Whether it is a unit of work that the worth is for.
-    pub by_work: bool,
+    pub per_work_unit: bool,
 }
 
 /// Shares of the fleet's first tries.
@@ -81,7 +81,7 @@
     /// Retries.
     pub retries: f64,
     /// Second copies.
-    pub copies: f64,
+    pub hedges: f64,
 }
 
 /// Times of the protocol, all in milliseconds.
@@ -115,7 +115,7 @@
     pub kind: FactKind,
     /// What it is about: a class, a server, a service.
     pub key: u64,
-    /// [`FACT_BYTES`] at most, encoded by `postcard` from the type that its kind stands for.
+    /// [`MAX_FACT_BYTES`] at most, encoded by `postcard` from the type that its kind stands for.
     pub body: Vec<u8>,
 }
 
@@ -125,32 +125,32 @@
 
 impl FactKind {
     /// How a member sees discovery: key 0.
-    pub const REACH: FactKind = FactKind(1);
+    pub const REACHABILITY: FactKind = FactKind(1);
     /// Load by class at a member: key is the number of the piece, where classes need more than one.
     pub const LOAD: FactKind = FactKind(2);
     /// What a member saw or was told of a server: key is the server's.
-    pub const SERVER: FactKind = FactKind(3);
+    pub const SERVER_STATE: FactKind = FactKind(3);
     /// A server's report of its load, by a member whose duty it is to ask: key is the server's.
-    pub const REPORT: FactKind = FactKind(4);
+    pub const LOAD_REPORT: FactKind = FactKind(4);
     /// The level of shedding at a member: key 0.
-    pub const LEVEL: FactKind = FactKind(5);
+    pub const SHEDDING_LEVEL: FactKind = FactKind(5);
     /// Rules of residency: the generation and what a service may use. Encoded by the package `residency`.
-    pub const RULES: FactKind = FactKind(6);
+    pub const RESIDENCY_RULES: FactKind = FactKind(6);
     /// The newest version of discovery's list that a member holds: key 0.
-    pub const LIST: FactKind = FactKind(7);
+    pub const LIST_VERSION: FactKind = FactKind(7);
     /// How a trial of an ejected server ended: key is the server's.
-    pub const TRIAL: FactKind = FactKind(8);
+    pub const EJECTION_PROBE: FactKind = FactKind(8);
 }
 
 /// The longest body of a fact, so that a datagram holds one with its stamp and head.
-pub const FACT_BYTES: usize = 160;
+pub const MAX_FACT_BYTES: usize = 160;
 
 /// The longest datagram, the platform's bound for messages between peers.
-pub const DATAGRAM_BYTES: usize = 256;
+pub const MAX_DATAGRAM_BYTES: usize = 256;
 
 /// How a member sees discovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Reach {
+pub enum Reachability {
     /// It answers, or its watch is alive.
     Up,
     /// It does not.
@@ -159,7 +159,7 @@
 
 /// What a list says of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Standing {
+pub enum ServerState {
     /// It takes new work.
     Serving,
     /// It finishes what it has.
@@ -170,7 +170,7 @@
 
 /// A server as a list names it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct ServerEntry {
     /// Its name.
     pub host: String,
     /// Where it listens.
@@ -182,7 +182,7 @@
     /// Its cell.
     pub cell: u64,
     /// What the list says of it.
-    pub standing: Standing,
+    pub state: ServerState,
     /// Its size compared with others.
     pub weight: f64,
     /// When it last started, in Unix milliseconds; 0 for long ago.
@@ -193,28 +193,28 @@
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct ClassCounts {
     /// First tries that came in.
-    pub first_tries: u32,
+    pub first_attempts: u32,
     /// Tries that clients marked as repeats.
-    pub repeats: u32,
+    pub client_retries: u32,
     /// Requests served.
     pub served: u32,
     /// Requests refused.
-    pub refused: u32,
+    pub rejected: u32,
     /// Requests that failed or were too late.
     pub failed: u32,
     /// Second and later sends.
     pub retries: u32,
     /// Second copies.
-    pub copies: u32,
+    pub hedges: u32,
     /// Requests held without their answer.
-    pub held: u32,
+    pub in_flight: u32,
     /// Milliseconds that a mean server works on one, as the module knows it; 0 where nothing is known.
     pub service_ms: f64,
 }
 
 /// A server's report of its load.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
-pub struct Report {
+pub struct LoadReport {
     /// Requests it holds.
     pub in_flight: Option<f32>,
     /// How busy its cores are, 0 to 1.
@@ -225,15 +225,15 @@
 
 /// A server that the module may be given duties or leases for.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Known {
+pub struct KnownServer {
     /// Which one.
     pub server: ServerKey,
     /// When it was started, on this member's clock, where that is less than the time of warming up ago: it is cold.
     pub started: Option<Millis>,
     /// How many requests all members together may send it in each window while it is cold.
-    pub cold_requests: f64,
+    pub slow_start_requests: f64,
     /// The window, in milliseconds.
-    pub cold_window: Millis,
+    pub slow_start_window: Millis,
     /// Whether this member has it ejected for failures.
     pub ejected: bool,
 }
@@ -251,41 +251,41 @@
     /// A timer that was asked for with [`Output::WakeAt`] is due.
     Woke,
     /// How discovery looks from here, whenever that changes.
-    Discovery(Reach),
+    Discovery(Reachability),
     /// Discovery told a list, or what changed in it.
-    Listed {
+    ListUpdate {
         /// Its version.
         version: u64,
         /// Whether who is missing is gone.
-        whole: bool,
+        complete: bool,
         /// Its entries.
-        entries: Vec<Entry>,
+        entries: Vec<ServerEntry>,
     },
     /// The module's sends told that a server drains (it turned requests away as draining) or is gone (it refuses
     /// connections), whatever the list says.
-    Saw {
+    ServerObserved {
         /// The server.
         server: ServerKey,
-        /// [`Standing::Draining`] or [`Standing::Gone`].
-        standing: Standing,
+        /// [`ServerState::Draining`] or [`Standing::Gone`].
+        state: ServerState,
     },
     /// What was done since the last time, by class; once a [`Timing::period`].
-    Counted(Vec<ClassCounts>),
+    Counts(Vec<ClassCounts>),
     /// All servers that the module may use, once a period.
-    Servers(Vec<Known>),
+    Servers(Vec<KnownServer>),
     /// A server told its load to this member.
-    Reported {
+    LoadReported {
         /// The server.
         server: ServerKey,
         /// Its report.
-        report: Report,
+        report: LoadReport,
     },
     /// A trial of an ejected server ended well or not.
-    Tried {
+    EjectionProbeEnded {
         /// The server.
         server: ServerKey,
         /// Whether it answered.
-        well: bool,
+        succeeded: bool,
     },
     /// A fact of this member's own to spread, such as a rule of residency; it replaces the one of the same kind and key
     /// and is said again until the member ends. One with an empty body takes it back.
@@ -294,13 +294,13 @@
 
 /// How a member's process should ask discovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Asking {
+pub enum PollingRate {
     /// As a sidecar by itself does.
-    Usual,
+    Normal,
     /// Often, for all others of the region: it is the coordinator's duty.
-    Often,
+    Frequent,
     /// Seldom: another asks for it.
-    Seldom,
+    Infrequent,
 }
 
 /// What a member's process should do.
@@ -310,60 +310,60 @@
     Send {
         /// Where to.
         to: SocketAddr,
-        /// Up to [`DATAGRAM_BYTES`].
+        /// Up to [`MAX_DATAGRAM_BYTES`].
         bytes: Vec<u8>,
     },
     /// Hand back [`Input::Woke`] at this time or soon after; an earlier one stays good.
     WakeAt(Millis),
     /// How to ask discovery from now on.
-    Ask(Asking),
+    SetPolling(PollingRate),
     /// A server that a list named stands differently than this member was told: a drain or an end that a peer was told
     /// of, a newer entry, or a withdrawal by the coordinator. Counts as told.
-    Server {
+    ServerChanged {
         /// The entry, with where it now stands.
-        entry: Entry,
+        entry: ServerEntry,
         /// Who says so.
-        why: Because,
+        why: ChangeReason,
     },
     /// What the fleet agreed on, for the module.
     Guidance(Guidance),
     /// A server told a peer its load, so many milliseconds ago by this member's clock.
-    Report {
+    LoadReport {
         /// The server.
         server: ServerKey,
         /// Its report.
-        report: Report,
+        report: LoadReport,
         /// How old it is.
         age: Millis,
     },
     /// Another member's trial of an ejected server ended.
-    Tried {
+    EjectionProbeEnded {
         /// The server.
         server: ServerKey,
         /// Whether it answered.
-        well: bool,
+        succeeded: bool,
     },
-    /// A fact of a kind that others read, such as [`FactKind::RULES`], is new or changed, or was withdrawn or expired (an
+    /// A fact of a kind that others read, such as [`FactKind::RESIDENCY_RULES`], is new or changed, or was withdrawn or expired (an
     /// empty body).
-    Heard {
+    FactReceived {
         /// Whose.
         owner: MemberId,
         /// The fact.
         fact: Fact,
     },
     /// A line for the operators: rare by itself.
-    Note(String),
+    Log(String),
 }
 
 /// Why a server stands differently.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Because {
+pub enum ChangeReason {
     /// A member has a newer list from discovery.
     NewerList,
     /// The coordinator withdrew it, by the evidence of more than one member.
     Withdrawn,
     /// The coordinator gave back what it had withdrawn itself.
-    GivenBack,
+    Restored,
 }
 
 /// What the fleet agreed on. What is absent leaves the module to itself.
@@ -376,16 +376,16 @@
     /// Retries and second copies that this member may make: a share of its own first tries, and so many saved up.
     pub retries: Option<Allowance>,
     /// The same for second copies.
-    pub copies: Option<Allowance>,
+    pub hedges: Option<Allowance>,
     /// Servers whose load this member asks for; absent: as it sees fit.
-    pub probes: Option<Vec<ServerKey>>,
+    pub load_polls: Option<Vec<ServerKey>>,
     /// Ejected servers that this member tries; absent: as it sees fit.
-    pub trials: Option<Vec<ServerKey>>,
+    pub ejection_probes: Option<Vec<ServerKey>>,
     /// Requests that this member may send to cold servers within their present windows; absent: by chance.
-    pub cold: Option<BTreeMap<ServerKey, ColdLease>>,
+    pub slow_start: Option<BTreeMap<ServerKey, SlowStartLease>>,
     /// Where in the span that refused clients are asked to stay away theirs lie, so that those whom all members
     /// refused do not come back in step: from and to, as shares of the span.
-    pub come_back: Option<[f64; 2]>,
+    pub retry_after_range: Option<[f64; 2]>,
 }
 
 /// Further sends.
@@ -399,7 +399,7 @@
 
 /// What one member may send a cold server.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ColdLease {
+pub struct SlowStartLease {
     /// So many requests of mean work.
     pub requests: u32,
     /// Until then, by this member's clock.
--- a/crates/peers/src/coordinator/api.rs
+++ b/crates/peers/src/coordinator/api.rs
@@ -1,7 +1,9 @@
 //! Inputs, outputs and roles of the coordinator's state machine.
 
 use super::term::Message;
-use crate::api::{Asking, Because, Entry, Fact, MemberId, Millis, Reach, ServerKey, Standing};
+use crate::api::{
+    ChangeReason, Fact, MemberId, Millis, PollingRate, Reachability, ServerEntry, ServerKey, ServerState,
+};
 
 /// The role of a member in its region.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -37,7 +39,7 @@
         /// The member whose view of discovery changed.
         member: MemberId,
         /// Whether the member reaches discovery.
-        reach: Reach,
+        reach: Reachability,
     },
     /// A member was found to be alive or dead. Given on each change. All members count as alive until an
     /// event reports otherwise.
@@ -55,7 +57,7 @@
         /// Whether this is the complete list, so that servers without an entry are gone.
         complete: bool,
         /// The entries of the list, or the changed entries.
-        entries: Vec<Entry>,
+        entries: Vec<ServerEntry>,
     },
     /// The state of a server as observed by a member, possibly this one. Given on each change. Without a
     /// state, the member reports nothing about the server any more, because its fact was withdrawn or has
@@ -66,7 +68,7 @@
         /// The observed server.
         server: ServerKey,
         /// The observed state.
-        standing: Option<Standing>,
+        standing: Option<ServerState>,
     },
     /// A fact of the kind `LIST` of another member. Given on each change. An empty body means that the fact
     /// is gone.
@@ -91,13 +93,13 @@
     /// Provide [`Input::Woke`] at this time or soon after. Earlier requests remain valid.
     WakeAt(Millis),
     /// Poll discovery in this way from now on.
-    SetPolling(Asking),
+    SetPolling(PollingRate),
     /// A server's state differs from the one that this member's process was last told.
     ServerChanged {
         /// The server's list entry, with its current state.
-        entry: Entry,
+        entry: ServerEntry,
         /// The reason for the change.
-        why: Because,
+        why: ChangeReason,
     },
     /// Publish a fact of this member to the others.
     Publish(Fact),
--- a/crates/peers/src/coordinator/directives.rs
+++ b/crates/peers/src/coordinator/directives.rs
@@ -4,14 +4,14 @@
 
 use super::evidence::severity;
 use super::term::{Directive, MAX_DIRECTIVES, MAX_INHERITED, Term};
-use crate::api::{Millis, ServerKey, Standing};
+use crate::api::{Millis, ServerKey, ServerState};
 use crate::lists::ENTRIES;
 
 /// The last directive that a coordinator issued about a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct LatestDirective {
     number: u32,
-    pub standing: Standing,
+    pub standing: ServerState,
     pub issued_at: Millis,
 }
 
@@ -30,7 +30,7 @@
     }
 
     /// Issues a directive with the next number.
-    pub fn issue(&mut self, now: Millis, server: ServerKey, standing: Standing) {
+    pub fn issue(&mut self, now: Millis, server: ServerKey, standing: ServerState) {
         let Some(number) = self.last_number.checked_add(1) else { return };
         self.last_number = number;
         if let Some(replaced) =
@@ -50,7 +50,7 @@
     pub fn withdrawn(&self) -> impl Iterator<Item = ServerKey> + '_ {
         self.by_server
             .iter()
-            .filter(|(_, latest)| latest.standing != Standing::Serving)
+            .filter(|(_, latest)| latest.standing != ServerState::Serving)
             .map(|(server, _)| *server)
     }
 
@@ -87,9 +87,9 @@
     pub term: Term,
     /// All directives up to this number have been applied.
     pub through: u32,
-    withdrawn: BTreeMap<ServerKey, Standing>,
+    withdrawn: BTreeMap<ServerKey, ServerState>,
     /// Withdrawals of earlier terms that no directive of this term has replaced.
-    inherited: BTreeMap<ServerKey, Standing>,
+    inherited: BTreeMap<ServerKey, ServerState>,
     /// When the last message from the coordinator arrived.
     pub last_contact: Millis,
 }
@@ -127,7 +127,7 @@
         {
             self.inherited.remove(&directive.server);
             match directive.standing {
-                Standing::Serving => {
+                ServerState::Serving => {
                     self.withdrawn.remove(&directive.server);
                 }
                 standing if self.withdrawn.len() < ENTRIES => {
@@ -152,20 +152,20 @@
     }
 
     /// All withdrawn servers and their states.
-    pub fn withdrawals(&self) -> impl Iterator<Item = (ServerKey, Standing)> + '_ {
+    pub fn withdrawals(&self) -> impl Iterator<Item = (ServerKey, ServerState)> + '_ {
         self.withdrawn.iter().chain(&self.inherited).map(|(server, standing)| (*server, *standing))
     }
 
     /// Withdrawals of earlier terms that no directive of this term has replaced, limited to what one
     /// acknowledgement holds.
-    pub fn inherited(&self) -> Vec<(ServerKey, Standing)> {
+    pub fn inherited(&self) -> Vec<(ServerKey, ServerState)> {
         self.inherited.iter().take(MAX_INHERITED).map(|(server, standing)| (*server, *standing)).collect()
     }
 }
 
 /// The state that a directive imposes on a server, or nothing if the list already shows it in the same or a
 /// worse state.
-pub(super) fn effective_withdrawal(listed: Standing, directed: Standing) -> Option<Standing> {
+pub(super) fn effective_withdrawal(listed: ServerState, directed: ServerState) -> Option<ServerState> {
     (severity(directed) > severity(listed)).then_some(directed)
 }
 
@@ -182,10 +182,10 @@
     fn a_lagging_member_catches_up_despite_lost_duplicated_or_late_batches() {
         let mut log = DirectiveLog::default();
         for server in 0..30 {
-            log.issue(0, ServerKey(server), Standing::Draining);
+            log.issue(0, ServerKey(server), ServerState::Draining);
         }
         for server in 0..10 {
-            log.issue(1, ServerKey(server), Standing::Serving);
+            log.issue(1, ServerKey(server), ServerState::Serving);
         }
         let mut applied = AppliedDirectives::new();
         applied.begin_term(0, term(1));
@@ -215,15 +215,15 @@
         let mut applied = AppliedDirectives::new();
         applied.begin_term(0, term(1));
         let mut log = DirectiveLog::default();
-        log.issue(0, ServerKey(1), Standing::Gone);
-        log.issue(0, ServerKey(2), Standing::Draining);
+        log.issue(0, ServerKey(1), ServerState::Gone);
+        log.issue(0, ServerKey(2), ServerState::Draining);
         let (directives, up_to) = log.next_batch(0);
         assert!(applied.apply(0, up_to, &directives));
         applied.begin_term(1, term(2));
         assert_eq!((applied.through, applied.withdrawals().count(), applied.inherited().len()), (0, 2, 2));
-        let directive = Directive { number: 1, server: ServerKey(1), standing: Standing::Serving };
+        let directive = Directive { number: 1, server: ServerKey(1), standing: ServerState::Serving };
         assert!(applied.apply(0, 1, &[directive]));
-        assert_eq!(applied.inherited(), [(ServerKey(2), Standing::Draining)]);
+        assert_eq!(applied.inherited(), [(ServerKey(2), ServerState::Draining)]);
         assert_eq!(applied.withdrawals().count(), 1);
     }
 }
--- a/crates/peers/src/coordinator/election.rs
+++ b/crates/peers/src/coordinator/election.rs
@@ -4,7 +4,7 @@
 
 use super::term::{Message, Term};
 use super::{Coordinator, Output};
-use crate::api::{MemberId, Millis, Reach};
+use crate::api::{MemberId, Millis, Reachability};
 
 /// The largest accepted increase of the term number in one message. This keeps a faulty member from
 /// exhausting the term numbers.
@@ -58,7 +58,7 @@
     fn count_down(&self, now: Millis, age: Millis) -> usize {
         let down = |member: &&MemberId| {
             self.discovery_reach.get(member).is_some_and(|(reach, since)| {
-                *reach == Reach::Down
+                *reach == Reachability::Down
                     && now.saturating_sub(*since) >= age
                     && !self.dead_members.contains(*member)
             })
@@ -69,21 +69,21 @@
     /// The number of living members of the region that report discovery as reachable.
     fn count_up(&self) -> usize {
         let up = |member: &&MemberId| {
-            self.discovery_reach.get(member).is_some_and(|(reach, _)| *reach == Reach::Up)
+            self.discovery_reach.get(member).is_some_and(|(reach, _)| *reach == Reachability::Up)
                 && !self.dead_members.contains(*member)
         };
         self.params.region_members.iter().filter(up).count()
     }
 
     /// Whether this member reaches discovery, or nothing if that is not known yet.
-    pub(super) fn own_reach(&self) -> Option<Reach> {
+    pub(super) fn own_reach(&self) -> Option<Reachability> {
         self.discovery_reach.get(&self.params.me).map(|(reach, _)| *reach)
     }
 
     /// Whether the region needs a coordinator, as far as this member knows. Only a member that does not reach
     /// discovery itself sees this need.
     fn coordinator_needed(&self, now: Millis) -> bool {
-        self.own_reach() == Some(Reach::Down)
+        self.own_reach() == Some(Reachability::Down)
             && self.count_down(now, self.params.outage_threshold) >= self.params.majority
     }
 
@@ -91,7 +91,7 @@
     /// majority that reports discovery as unreachable. Members that merely fell silent are not a reason to
     /// step down, because without their renewals the lease expires anyway.
     pub(super) fn no_longer_needed(&self, now: Millis) -> bool {
-        self.own_reach() == Some(Reach::Up)
+        self.own_reach() == Some(Reachability::Up)
             || (self.count_up() > 0 && self.count_down(now, 0) < self.params.majority)
     }
 
@@ -99,7 +99,7 @@
     /// requires that the outage is observed again for its full threshold.
     pub(super) fn restart_outage_timers(&mut self, now: Millis) {
         for (reach, since) in self.discovery_reach.values_mut() {
-            if *reach == Reach::Down {
+            if *reach == Reachability::Down {
                 *since = now;
             }
         }
@@ -107,7 +107,7 @@
 
     /// When the current outage will have lasted long enough for an election, if that is in the future.
     pub(super) fn needed_at(&self, now: Millis) -> Option<Millis> {
-        if self.own_reach() != Some(Reach::Down) {
+        if self.own_reach() != Some(Reachability::Down) {
             return None;
         }
         let mut since: Vec<Millis> = self
@@ -116,7 +116,7 @@
             .iter()
             .filter(|member| !self.dead_members.contains(*member))
             .filter_map(|member| self.discovery_reach.get(member))
-            .filter(|(reach, _)| *reach == Reach::Down)
+            .filter(|(reach, _)| *reach == Reachability::Down)
             .map(|(_, since)| *since)
             .collect();
         since.sort_unstable();
--- a/crates/peers/src/coordinator/evidence.rs
+++ b/crates/peers/src/coordinator/evidence.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::api::{MemberId, Millis, ServerKey, Standing};
+use crate::api::{MemberId, Millis, ServerKey, ServerState};
 
 /// A withdrawal requires reports of this many members, because a single member may be cut off, slow or
 /// faulty.
@@ -12,11 +12,11 @@
 const MAX_SERVERS: usize = 4_096;
 
 /// Ranks states by how much they restrict new requests to the server.
-pub(super) fn severity(standing: Standing) -> u8 {
+pub(super) fn severity(standing: ServerState) -> u8 {
     match standing {
-        Standing::Serving => 0,
-        Standing::Draining => 1,
-        Standing::Gone => 2,
+        ServerState::Serving => 0,
+        ServerState::Draining => 1,
+        ServerState::Gone => 2,
     }
 }
 
@@ -24,9 +24,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 struct ServerEvidence {
     /// The state that each member observed.
-    observed: BTreeMap<MemberId, Standing>,
+    observed: BTreeMap<MemberId, ServerState>,
     /// Members that still apply a withdrawal by an earlier coordinator, and the withdrawn state.
-    inherited: BTreeMap<MemberId, Standing>,
+    inherited: BTreeMap<MemberId, ServerState>,
     /// When the first of those members reported the withdrawal.
     inherited_since: Millis,
 }
@@ -46,7 +46,7 @@
     }
 
     /// Records the state that a member observed, or removes its report if there is no state.
-    pub fn observe(&mut self, reporter: MemberId, server: ServerKey, standing: Option<Standing>) {
+    pub fn observe(&mut self, reporter: MemberId, server: ServerKey, standing: Option<ServerState>) {
         match standing {
             Some(standing) => {
                 if let Some(entry) = self.entry(server) {
@@ -71,7 +71,7 @@
         now: Millis,
         reporter: MemberId,
         server: ServerKey,
-        standing: Standing,
+        standing: ServerState,
     ) {
         if let Some(entry) = self.entry(server) {
             if entry.inherited.is_empty() {
@@ -99,7 +99,7 @@
 
     /// The worst state that enough members report. With `include_inherited`, a member that reports nothing
     /// itself but still applies an inherited withdrawal counts as reporting its state.
-    pub fn withdrawal(&self, server: ServerKey, include_inherited: bool) -> Option<Standing> {
+    pub fn withdrawal(&self, server: ServerKey, include_inherited: bool) -> Option<ServerState> {
         let entry = self.servers.get(&server)?;
         let mut reports = entry.observed.clone();
         if include_inherited {
@@ -107,7 +107,7 @@
                 reports.entry(*reporter).or_insert(*standing);
             }
         }
-        [Standing::Gone, Standing::Draining].into_iter().find(|standing| {
+        [ServerState::Gone, ServerState::Draining].into_iter().find(|standing| {
             let reporters =
                 reports.values().filter(|reported| severity(**reported) >= severity(*standing)).count();
             reporters >= MIN_REPORTERS
@@ -117,7 +117,7 @@
     /// Whether enough members have seen the server serving again.
     pub fn seen_serving(&self, server: ServerKey) -> bool {
         self.servers.get(&server).is_some_and(|entry| {
-            entry.observed.values().filter(|standing| **standing == Standing::Serving).count()
+            entry.observed.values().filter(|standing| **standing == ServerState::Serving).count()
                 >= MIN_REPORTERS
         })
     }
@@ -143,7 +143,7 @@
 
     #[test]
     fn a_withdrawal_takes_two_members_and_the_milder_of_two_reports() {
-        use Standing::{Draining, Gone, Serving};
+        use ServerState::{Draining, Gone, Serving};
         let server = ServerKey(1);
         // The states that members 0, 1 and 2 observed, the resulting withdrawal, and whether the server
         // counts as serving.
@@ -169,11 +169,11 @@
     #[test]
     fn members_with_an_inherited_withdrawal_count_until_a_directive_replaces_it() {
         let (server, mut evidence) = (ServerKey(1), Evidence::default());
-        evidence.observe_inherited(5, MemberId(0), server, Standing::Gone);
-        evidence.observe(MemberId(0), server, Some(Standing::Gone));
+        evidence.observe_inherited(5, MemberId(0), server, ServerState::Gone);
+        evidence.observe(MemberId(0), server, Some(ServerState::Gone));
         assert_eq!(evidence.withdrawal(server, true), None, "both by one member");
-        evidence.observe_inherited(9, MemberId(1), server, Standing::Draining);
-        assert_eq!(evidence.withdrawal(server, true), Some(Standing::Draining));
+        evidence.observe_inherited(9, MemberId(1), server, ServerState::Draining);
+        assert_eq!(evidence.withdrawal(server, true), Some(ServerState::Draining));
         assert_eq!(evidence.withdrawal(server, false), None);
         assert_eq!(evidence.inherited_since(server), Some(5));
         evidence.clear_inherited(server);
--- a/crates/peers/src/coordinator/follower.rs
+++ b/crates/peers/src/coordinator/follower.rs
@@ -5,7 +5,7 @@
 use super::election::Promise;
 use super::term::{Directive, Message, Term};
 use super::{Coordinator, Output, WITHDRAWAL_TTL_LEASES, directives};
-use crate::api::{Because, MemberId, Millis, Reach, ServerKey};
+use crate::api::{ChangeReason, MemberId, Millis, Reachability, ServerKey};
 use crate::lists::Rank;
 
 impl Coordinator {
@@ -100,19 +100,19 @@
         actions.push(Output::Send { to: term.candidate, message });
     }
 
-    pub(super) fn set_reach(&mut self, now: Millis, member: MemberId, reach: Reach) {
+    pub(super) fn set_reach(&mut self, now: Millis, member: MemberId, reach: Reachability) {
         if self.discovery_reach.get(&member).is_some_and(|(previous, _)| *previous == reach) {
             return;
         }
         self.discovery_reach.insert(member, (reach, now));
         if member == self.params.me {
-            self.lists.reach(reach == Reach::Up);
+            self.lists.reach(reach == Reachability::Up);
             match reach {
-                Reach::Up if self.leadership.is_none() => self.applied.clear(),
-                Reach::Up => {}
+                Reachability::Up if self.leadership.is_none() => self.applied.clear(),
+                Reachability::Up => {}
                 // Withdrawals were dropped while this member reached discovery. Acknowledging number zero
                 // makes a coordinator that is still in place send all of its directives again.
-                Reach::Down => self.applied.through = 0,
+                Reachability::Down => self.applied.through = 0,
             }
         }
     }
@@ -137,7 +137,7 @@
     /// member, and those whose withdrawal began, changed or ended.
     pub(super) fn report_changes(&mut self, changed: &[ServerKey], actions: &mut Vec<Output>) {
         let mut withdrawals = BTreeMap::new();
-        if self.own_reach() != Some(Reach::Up) {
+        if self.own_reach() != Some(Reachability::Up) {
             for (server, directive) in self.applied.withdrawals() {
                 let listed = self.lists.standing(server);
                 if let Some(standing) =
@@ -151,8 +151,8 @@
         let changed: BTreeSet<ServerKey> = changed.iter().copied().collect();
         for server in &changed {
             if let Some(mut entry) = self.lists.entry(*server) {
-                entry.standing = self.reported_withdrawals.get(server).copied().unwrap_or(entry.standing);
-                actions.push(Output::ServerChanged { entry, why: Because::NewerList });
+                entry.state = self.reported_withdrawals.get(server).copied().unwrap_or(entry.state);
+                actions.push(Output::ServerChanged { entry, why: ChangeReason::NewerList });
             }
         }
         let servers: BTreeSet<ServerKey> =
@@ -163,8 +163,8 @@
                 continue;
             }
             let Some(mut entry) = self.lists.entry(*server) else { continue };
-            entry.standing = current.unwrap_or(entry.standing);
-            let why = if current.is_some() { Because::Withdrawn } else { Because::GivenBack };
+            entry.state = current.unwrap_or(entry.state);
+            let why = if current.is_some() { ChangeReason::Withdrawn } else { ChangeReason::Restored };
             actions.push(Output::ServerChanged { entry, why });
         }
     }
--- a/crates/peers/src/coordinator/leadership.rs
+++ b/crates/peers/src/coordinator/leadership.rs
@@ -6,7 +6,7 @@
 use super::election::{Candidacy, Promise};
 use super::term::{Message, Term};
 use super::{Coordinator, Output};
-use crate::api::{MemberId, Millis, Reach, ServerKey, Standing};
+use crate::api::{MemberId, Millis, Reachability, ServerKey, ServerState};
 
 /// A withdrawal that is no longer supported by evidence ends after this many leases. While nobody sends
 /// requests to the server, nobody can observe that it recovered. Each restoration costs the
@@ -104,7 +104,7 @@
         });
         // Repeats, under the new term, all withdrawals of earlier coordinators that this member knows. Only
         // then may it restore those servers.
-        let former: Vec<(ServerKey, Standing)> = self.applied.withdrawals().collect();
+        let former: Vec<(ServerKey, ServerState)> = self.applied.withdrawals().collect();
         for (server, standing) in former {
             self.issue_directive(now, server, standing);
         }
@@ -174,7 +174,7 @@
         term: Term,
         sent_at: Option<Millis>,
         through: u32,
-        inherited: &[(ServerKey, Standing)],
+        inherited: &[(ServerKey, ServerState)],
     ) {
         let Some(leadership) = &mut self.leadership else { return };
         if leadership.term != term {
@@ -237,7 +237,7 @@
         }
     }
 
-    fn issue_directive(&mut self, now: Millis, server: ServerKey, standing: Standing) {
+    fn issue_directive(&mut self, now: Millis, server: ServerKey, standing: ServerState) {
         let Some(leadership) = &mut self.leadership else { return };
         let after = leadership.directives.last_number();
         leadership.directives.issue(now, server, standing);
@@ -261,16 +261,16 @@
     pub(super) fn evaluate(&mut self, now: Millis, server: ServerKey) {
         let Some(leadership) = &self.leadership else { return };
         let issued = leadership.directives.latest(server);
-        let serving_in_list = self.lists.standing(server) == Some(Standing::Serving);
+        let serving_in_list = self.lists.standing(server) == Some(ServerState::Serving);
         let withdrawn =
-            issued.map(|issued| issued.standing).filter(|standing| *standing != Standing::Serving);
+            issued.map(|issued| issued.standing).filter(|standing| *standing != ServerState::Serving);
         if let Some((standing, issued)) = withdrawn.zip(issued) {
             let observed = self.evidence.withdrawal(server, false);
             let hold_expired = now.saturating_sub(issued.issued_at) >= HOLD_LEASES * self.params.lease;
             if self.evidence.seen_serving(server) || (hold_expired && observed.is_none()) {
-                self.issue_directive(now, server, Standing::Serving);
-            } else if observed == Some(Standing::Gone) && standing != Standing::Gone {
-                self.issue_directive(now, server, Standing::Gone);
+                self.issue_directive(now, server, ServerState::Serving);
+            } else if observed == Some(ServerState::Gone) && standing != ServerState::Gone {
+                self.issue_directive(now, server, ServerState::Gone);
             }
             return;
         }
@@ -286,7 +286,7 @@
                 if inherited_since.is_some_and(|since| now.saturating_sub(since) >= self.params.lease) {
                     // This inherited withdrawal was not repeated within a lease, because only one member
                     // knows of it or a condition above prevented it. A directive of this term ends it.
-                    self.issue_directive(now, server, Standing::Serving);
+                    self.issue_directive(now, server, ServerState::Serving);
                 }
             }
         }
@@ -296,15 +296,15 @@
     pub(super) fn on_entry_updated(&mut self, now: Millis, server: ServerKey) {
         self.evidence.forget(server);
         let issued = self.leadership.as_ref().and_then(|leadership| leadership.directives.latest(server));
-        if issued.is_some_and(|issued| issued.standing != Standing::Serving) {
-            self.issue_directive(now, server, Standing::Serving);
+        if issued.is_some_and(|issued| issued.standing != ServerState::Serving) {
+            self.issue_directive(now, server, ServerState::Serving);
         }
     }
 
     fn step_down(&mut self, now: Millis, actions: &mut Vec<Output>) {
         let Some(leadership) = self.leadership.take() else { return };
         let why = match self.own_reach() {
-            Some(Reach::Up) => "this member reaches discovery again",
+            Some(Reachability::Up) => "this member reaches discovery again",
             _ => "no majority of the region reports discovery as unreachable any more",
         };
         actions
--- a/crates/peers/src/coordinator/mod.rs
+++ b/crates/peers/src/coordinator/mod.rs
@@ -59,7 +59,7 @@
 pub use api::{Input, Output, Role};
 pub use term::{Directive, MAX_DIRECTIVES, MAX_INHERITED, Message, Term};
 
-use crate::api::{Asking, Config, MemberId, Millis, Reach, ServerKey, Standing};
+use crate::api::{Config, MemberId, Millis, PollingRate, Reachability, ServerKey, ServerState};
 use crate::lists::{Changed, Lists, Pace};
 use directives::AppliedDirectives;
 use election::{Candidacy, Promise};
@@ -121,7 +121,7 @@
     /// The incarnation in the last accepted message of each member.
     incarnations: BTreeMap<MemberId, u64>,
     /// Whether each member reaches discovery, and when this member learnt it.
-    discovery_reach: BTreeMap<MemberId, (Reach, Millis)>,
+    discovery_reach: BTreeMap<MemberId, (Reachability, Millis)>,
     dead_members: BTreeSet<MemberId>,
     /// When this member becomes a candidate, unless the need for a coordinator ends before.
     candidacy_at: Option<Millis>,
@@ -136,9 +136,9 @@
     applied: AppliedDirectives,
     evidence: Evidence,
     /// The withdrawals that were last reported to this member's process.
-    reported_withdrawals: BTreeMap<ServerKey, Standing>,
+    reported_withdrawals: BTreeMap<ServerKey, ServerState>,
     /// How this member's process was last told to poll discovery.
-    polling: Asking,
+    polling: PollingRate,
     next_wake: Option<Millis>,
     stale_rejected: Counter,
     lists: Lists,
@@ -221,7 +221,7 @@
             applied: AppliedDirectives::new(),
             evidence: Evidence::default(),
             reported_withdrawals: BTreeMap::new(),
-            polling: Asking::Usual,
+            polling: PollingRate::Normal,
             next_wake: None,
             stale_rejected: Counter(0),
             lists: Lists::new(pace, now),
@@ -248,7 +248,7 @@
                 }
             }
             Input::ListUpdate { version, complete, entries } => {
-                self.set_reach(now, self.params.me, Reach::Up);
+                self.set_reach(now, self.params.me, Reachability::Up);
                 self.lists.listed(version, complete, &entries, &mut changed, actions);
                 for server in changed.drain(..) {
                     self.evidence.forget(server);
@@ -270,8 +270,8 @@
         self.send_directives(now, actions);
         self.announce_resignation(now, actions);
         self.expire(now, actions);
-        let down = |(member, (reach, _)): (&MemberId, &(Reach, Millis))| {
-            *reach == Reach::Down && !self.dead_members.contains(member)
+        let down = |(member, (reach, _)): (&MemberId, &(Reachability, Millis))| {
+            *reach == Reachability::Down && !self.dead_members.contains(member)
         };
         let discovery_down = self.discovery_reach.iter().any(down);
         self.lists.tick(now, discovery_down, actions);
@@ -301,7 +301,7 @@
     }
 
     /// The withdrawals by coordinators that this member has received and that still apply.
-    pub fn withdrawn(&self) -> Vec<(ServerKey, Standing)> {
+    pub fn withdrawn(&self) -> Vec<(ServerKey, ServerState)> {
         self.applied.withdrawals().collect()
     }
 
@@ -381,9 +381,9 @@
 
     fn update_polling(&mut self, now: Millis, actions: &mut Vec<Output>) {
         let polling = match self.role() {
-            Role::Coordinator if self.is_acting(now) => Asking::Often,
-            Role::Follower if self.own_reach() == Some(Reach::Down) => Asking::Seldom,
-            _ => Asking::Usual,
+            Role::Coordinator if self.is_acting(now) => PollingRate::Frequent,
+            Role::Follower if self.own_reach() == Some(Reachability::Down) => PollingRate::Infrequent,
+            _ => PollingRate::Normal,
         };
         if polling != self.polling {
             self.polling = polling;
--- a/crates/peers/src/coordinator/term.rs
+++ b/crates/peers/src/coordinator/term.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::api::{MemberId, ServerKey, Standing};
+use crate::api::{MemberId, ServerKey, ServerState};
 use crate::lists::{self, Rank};
 
 /// Identifies a candidacy and the leadership that follows from it. Members follow the highest term that they
@@ -37,8 +37,8 @@
     pub number: u32,
     /// The server that the directive is about.
     pub server: ServerKey,
-    /// The declared state. [`Standing::Serving`] restores a server that was withdrawn.
-    pub standing: Standing,
+    /// The declared state. [`ServerState::Serving`] restores a server that was withdrawn.
+    pub standing: ServerState,
 }
 
 /// The maximum number of directives in one message. 8 directives of at most 16 bytes and up to 50 bytes for
@@ -102,7 +102,7 @@
         through: u32,
         /// Withdrawals of earlier terms that no directive of this term has replaced, at most
         /// [`MAX_INHERITED`].
-        inherited: Vec<(ServerKey, Standing)>,
+        inherited: Vec<(ServerKey, ServerState)>,
     },
     /// The coordinator sends directives. `directives` holds, in the order of their numbers, all directives
     /// with numbers above `after` and up to `up_to` that later ones have not replaced.
--- a/crates/peers/src/coordinator/tests.rs
+++ b/crates/peers/src/coordinator/tests.rs
@@ -4,7 +4,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 use super::*;
-use crate::api::{Because, Budgets, Entry, Member, RegionId, Timing};
+use crate::api::{Budgets, ChangeReason, Member, RegionId, ServerEntry, Timing};
 
 /// The members of one region. Each message takes 5 ms.
 pub(crate) struct Fleet {
@@ -34,27 +34,27 @@
         regions: vec!["r".to_owned()],
         classes: Vec::new(),
         class_floor: 0.0,
-        budgets: Budgets { retries: 0.1, copies: 0.1 },
+        budgets: Budgets { retries: 0.1, hedges: 0.1 },
         timing: Timing::default(),
     })
 }
 
 /// The list entry of the server with this number.
-pub(crate) fn entry(number: u16, standing: Standing) -> Entry {
-    Entry {
+pub(crate) fn entry(number: u16, standing: ServerState) -> ServerEntry {
+    ServerEntry {
         host: format!("server-{number}"),
         dial: SocketAddr::from((Ipv4Addr::LOCALHOST, number)),
         zone: "z".to_owned(),
         kind: "k".to_owned(),
         cell: 0,
-        standing,
+        state: standing,
         weight: 1.0,
         started_ms: 0.0,
     }
 }
 
-pub(crate) fn list(servers: u16) -> Vec<Entry> {
-    (0..servers).map(|number| entry(number, Standing::Serving)).collect()
+pub(crate) fn list(servers: u16) -> Vec<ServerEntry> {
+    (0..servers).map(|number| entry(number, ServerState::Serving)).collect()
 }
 
 pub(crate) fn key(number: u16) -> ServerKey {
@@ -113,18 +113,18 @@
     }
 
     /// Tells all members whether one of them reaches discovery.
-    pub fn set_reach(&mut self, member: u16, reach: Reach) {
+    pub fn set_reach(&mut self, member: u16, reach: Reachability) {
         self.input_all(&Input::DiscoveryReach { member: MemberId(member), reach });
     }
 
     pub fn lose_discovery(&mut self) {
         for member in 0..self.outputs.len() as u16 {
-            self.set_reach(member, Reach::Down);
+            self.set_reach(member, Reachability::Down);
         }
     }
 
     /// Tells all members what one of them observed of a server.
-    pub fn report_evidence(&mut self, reporter: u16, server: u16, standing: Option<Standing>) {
+    pub fn report_evidence(&mut self, reporter: u16, server: u16, standing: Option<ServerState>) {
         self.input_all(&Input::Evidence { reporter: MemberId(reporter), server: key(server), standing });
     }
 
@@ -163,16 +163,16 @@
     }
 
     /// The last state of a server that was reported to a member's process, and the reason.
-    pub fn notified(&self, id: u16, server: u16) -> Option<(Standing, Because)> {
+    pub fn notified(&self, id: u16, server: u16) -> Option<(ServerState, ChangeReason)> {
         self.outputs[usize::from(id)].iter().rev().find_map(|output| match output {
             Output::ServerChanged { entry, why } if ServerKey::of(&entry.host) == key(server) => {
-                Some((entry.standing, *why))
+                Some((entry.state, *why))
             }
             _ => None,
         })
     }
 
-    fn polling(&self, id: u16) -> Option<Asking> {
+    fn polling(&self, id: u16) -> Option<PollingRate> {
         self.outputs[usize::from(id)].iter().rev().find_map(|output| match output {
             Output::SetPolling(asking) => Some(*asking),
             _ => None,
@@ -197,7 +197,7 @@
     {
         let mut fleet = Fleet::new(members);
         for member in 0..members {
-            fleet.set_reach(member, if member < down { Reach::Down } else { Reach::Up });
+            fleet.set_reach(member, if member < down { Reachability::Down } else { Reachability::Up });
         }
         fleet.run(1_499);
         assert_eq!(fleet.coordinator(), None, "the outage is too short");
@@ -205,10 +205,10 @@
         assert_eq!(fleet.coordinator().is_some(), elected, "{down} of {members}");
         if let Some(id) = fleet.coordinator() {
             assert!(id < down, "the coordinator does not reach discovery itself");
-            let all: Vec<Option<Asking>> = (0..members).map(|id| fleet.polling(id)).collect();
+            let all: Vec<Option<PollingRate>> = (0..members).map(|id| fleet.polling(id)).collect();
             let expected = |member| match member {
-                member if member == id => Some(Asking::Often),
-                member if member < down => Some(Asking::Seldom),
+                member if member == id => Some(PollingRate::Frequent),
+                member if member < down => Some(PollingRate::Infrequent),
                 _ => None,
             };
             assert_eq!(all, (0..members).map(expected).collect::<Vec<_>>());
@@ -263,7 +263,7 @@
         list: Default::default(),
     };
     fleet.input(member, Input::Message { from: late.candidate, incarnation: 1, message });
-    let directive = Directive { number: 1, server: key(0), standing: Standing::Gone };
+    let directive = Directive { number: 1, server: key(0), standing: ServerState::Gone };
     let old =
         Message::Directives { term, to_incarnation: 1, after: 0, up_to: 1, directives: vec![directive] };
     fleet.input(member, Input::Message { from: MemberId(first), incarnation: 1, message: old });
@@ -281,7 +281,7 @@
     let mut fleet = Fleet::new(3);
     fleet.input_all(&Input::ListUpdate { version: 1, complete: true, entries: list(4) });
     let term = Term { number: 9, candidate: MemberId(0), incarnation: 1 };
-    let directive = Directive { number: 1, server: key(0), standing: Standing::Gone };
+    let directive = Directive { number: 1, server: key(0), standing: ServerState::Gone };
     // The addressed incarnation, the sender, and the sender's incarnation.
     for (to_incarnation, from, incarnation) in [(0, 0, 1), (2, 0, 1), (1, 2, 1), (1, 0, 2)] {
         let message =
@@ -295,42 +295,42 @@
 fn evidence_of_two_members_withdraws_a_server_for_all_and_the_coordinator_restores_it() {
     let (mut fleet, first) = region_with_coordinator(5, 4);
     fleet.lose_one_in = 3;
-    fleet.report_evidence(0, 1, Some(Standing::Gone));
+    fleet.report_evidence(0, 1, Some(ServerState::Gone));
     fleet.run(3_000);
     assert_eq!(fleet.notified(2, 1), None, "evidence of one member only");
-    fleet.report_evidence(1, 1, Some(Standing::Draining));
+    fleet.report_evidence(1, 1, Some(ServerState::Draining));
     // A member that restarts, and members that missed messages meanwhile, catch up.
     let other = (first + 1) % 5;
     fleet.run(3_000);
     fleet.restart(other);
     fleet.input(other, Input::ListUpdate { version: 1, complete: true, entries: list(4) });
-    fleet.input(other, Input::DiscoveryReach { member: MemberId(other), reach: Reach::Down });
+    fleet.input(other, Input::DiscoveryReach { member: MemberId(other), reach: Reachability::Down });
     fleet.run(3_000);
     for id in 0..5 {
-        assert_eq!(fleet.notified(id, 1), Some((Standing::Draining, Because::Withdrawn)), "{id}");
+        assert_eq!(fleet.notified(id, 1), Some((ServerState::Draining, ChangeReason::Withdrawn)), "{id}");
     }
     // Half of the four servers stay in service, whatever the evidence.
     for server in 0..4 {
-        fleet.report_evidence(3, server, Some(Standing::Gone));
-        fleet.report_evidence(4, server, Some(Standing::Gone));
+        fleet.report_evidence(3, server, Some(ServerState::Gone));
+        fleet.report_evidence(4, server, Some(ServerState::Gone));
     }
     fleet.run(2_000);
     assert_eq!(fleet.nodes[usize::from(first)].withdrawn().len(), 2);
     for server in 0..4 {
-        fleet.report_evidence(3, server, Some(Standing::Serving));
-        fleet.report_evidence(4, server, Some(Standing::Serving));
+        fleet.report_evidence(3, server, Some(ServerState::Serving));
+        fleet.report_evidence(4, server, Some(ServerState::Serving));
     }
     fleet.run(3_000);
     for id in 0..5 {
-        assert_eq!(fleet.notified(id, 1), Some((Standing::Serving, Because::GivenBack)), "{id}");
+        assert_eq!(fleet.notified(id, 1), Some((ServerState::Serving, ChangeReason::Restored)), "{id}");
     }
 }
 
 #[test]
 fn a_successor_repeats_inherited_withdrawals_and_restores_servers_without_evidence() {
     let (mut fleet, first) = region_with_coordinator(5, 4);
-    fleet.report_evidence(0, 1, Some(Standing::Gone));
-    fleet.report_evidence(1, 1, Some(Standing::Gone));
+    fleet.report_evidence(0, 1, Some(ServerState::Gone));
+    fleet.report_evidence(1, 1, Some(ServerState::Gone));
     fleet.run(1_000);
     fleet.stopped.insert(first);
     for reporter in [0, 1] {
@@ -339,39 +339,39 @@
     fleet.run(5_000);
     let second = fleet.coordinator().expect("a successor");
     let watched = (0..5).find(|id| *id != first && *id != second).expect("another");
-    assert_eq!(fleet.notified(watched, 1), Some((Standing::Gone, Because::Withdrawn)));
+    assert_eq!(fleet.notified(watched, 1), Some((ServerState::Gone, ChangeReason::Withdrawn)));
     let (term, through) = fleet.nodes[usize::from(watched)].applied_through();
     assert_eq!((term.candidate, through), (MemberId(second), 1), "repeated under its own term");
     fleet.run(15_000);
-    assert_eq!(fleet.notified(watched, 1), Some((Standing::Serving, Because::GivenBack)));
+    assert_eq!(fleet.notified(watched, 1), Some((ServerState::Serving, ChangeReason::Restored)));
 }
 
 #[test]
 fn discovery_prevails_at_once_and_ends_all_withdrawals() {
     let (mut fleet, first) = region_with_coordinator(5, 4);
-    fleet.report_evidence(0, 1, Some(Standing::Gone));
-    fleet.report_evidence(1, 1, Some(Standing::Gone));
+    fleet.report_evidence(0, 1, Some(ServerState::Gone));
+    fleet.report_evidence(1, 1, Some(ServerState::Gone));
     fleet.run(1_000);
     // A list from discovery prevails at the member that received it, even while no other member reaches
     // discovery.
     let other = (first + 1) % 5;
     fleet.input(other, Input::ListUpdate { version: 1, complete: true, entries: list(4) });
-    assert_eq!(fleet.notified(other, 1), Some((Standing::Serving, Because::GivenBack)));
-    let entries = vec![entry(1, Standing::Draining)];
+    assert_eq!(fleet.notified(other, 1), Some((ServerState::Serving, ChangeReason::Restored)));
+    let entries = vec![entry(1, ServerState::Draining)];
     fleet.input(first, Input::ListUpdate { version: 2, complete: false, entries });
     assert_eq!(fleet.coordinator(), None);
     fleet.lose_one_in = 3;
     fleet.run(2_900);
     // The draining state that one member learnt from discovery reaches all members, and no member reverts it.
     for id in (0..5).filter(|id| ![first, other].contains(id)) {
-        assert_eq!(fleet.notified(id, 1), Some((Standing::Draining, Because::NewerList)), "{id}");
+        assert_eq!(fleet.notified(id, 1), Some((ServerState::Draining, ChangeReason::NewerList)), "{id}");
     }
 }
 
 #[test]
 fn after_only_the_coordinator_reaches_discovery_the_next_election_waits_for_a_full_outage() {
     let (mut fleet, first) = region_with_coordinator(5, 4);
-    fleet.set_reach(first, Reach::Up);
+    fleet.set_reach(first, Reachability::Up);
     fleet.run(1_400);
     assert_eq!(fleet.coordinator(), None);
     fleet.run(1_000);
@@ -412,13 +412,13 @@
 #[test]
 fn withdrawals_expire_after_a_long_time_without_a_coordinator() {
     let (mut fleet, first) = region_with_coordinator(3, 4);
-    fleet.report_evidence(0, 1, Some(Standing::Gone));
-    fleet.report_evidence(1, 1, Some(Standing::Gone));
+    fleet.report_evidence(0, 1, Some(ServerState::Gone));
+    fleet.report_evidence(1, 1, Some(ServerState::Gone));
     fleet.run(1_000);
     let isolated = (first + 1) % 3;
     fleet.stopped = (0..3).filter(|id| *id != isolated).collect();
     fleet.run(58_000);
-    assert_eq!(fleet.notified(isolated, 1), Some((Standing::Gone, Because::Withdrawn)));
+    assert_eq!(fleet.notified(isolated, 1), Some((ServerState::Gone, ChangeReason::Withdrawn)));
     fleet.run(4_000);
-    assert_eq!(fleet.notified(isolated, 1), Some((Standing::Serving, Because::GivenBack)));
+    assert_eq!(fleet.notified(isolated, 1), Some((ServerState::Serving, ChangeReason::Restored)));
 }
--- a/crates/peers/src/facts/compare.rs
+++ b/crates/peers/src/facts/compare.rs
@@ -7,7 +7,7 @@
 
 use super::{Facts, Owner, Place, encode, frequent};
 use crate::api::{MemberId, Millis};
-use crate::wire::{Kind, Outbox, ROOM};
+use crate::wire::{MAX_PART_BYTES, Outbox, PartKind};
 
 /// How many digests stand in one step of a comparison.
 const DIGESTS: u16 = 32;
@@ -110,8 +110,8 @@
         for place in all.iter().cycle().skip(first).take(all.len()) {
             let Some(held) = self.held.get(place) else { continue };
             let Some(bytes) = encode(now, *place, held) else { continue };
-            if part.len() + bytes.len() > ROOM {
-                out.push(to, Kind::FACTS, &std::mem::take(&mut part));
+            if part.len() + bytes.len() > MAX_PART_BYTES {
+                out.push(to, PartKind::FACTS, &std::mem::take(&mut part));
                 self.answers -= 1;
                 if self.answers == 0 {
                     return;
@@ -121,7 +121,7 @@
         }
         if !part.is_empty() {
             self.answers -= 1;
-            out.push(to, Kind::FACTS, &part);
+            out.push(to, PartKind::FACTS, &part);
         }
     }
 
@@ -134,6 +134,6 @@
 
 fn send(to: MemberId, step: &Compare, out: &mut Outbox) {
     if let Ok(body) = postcard::to_allocvec(step) {
-        out.push(to, Kind::COMPARE, &body);
+        out.push(to, PartKind::FACT_SYNC, &body);
     }
 }
--- a/crates/peers/src/facts/mod.rs
+++ b/crates/peers/src/facts/mod.rs
@@ -19,7 +19,7 @@
 //! member ends; so does one that was not said again for [`Facts::expiry`]. Only ages are sent, never times; a fact that is
 //! told by several is as old as the oldest word of it. Ages leave out the time on the way.
 //!
-//! Whatever others say, an owner has at most [`OWNED`] facts, [`FACT_BYTES`] each.
+//! Whatever others say, an owner has at most [`OWNED`] facts, [`MAX_FACT_BYTES`] each.
 
 mod compare;
 mod spread;
@@ -32,8 +32,8 @@
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
 
-use crate::api::{Config, FACT_BYTES, Fact, FactKind, MemberId, Millis};
-use crate::wire::HIGHEST_INCARNATION;
+use crate::api::{Config, Fact, FactKind, MAX_FACT_BYTES, MemberId, Millis};
+use crate::wire::MAX_INCARNATION;
 
 /// How many facts of one owner are held at most, those taken back included.
 pub const OWNED: usize = 96;
@@ -53,12 +53,12 @@
 
 /// Whether a kind is said anew all the time, so that a lost one matters little.
 pub fn frequent(kind: FactKind) -> bool {
-    matches!(kind, FactKind::LOAD | FactKind::REPORT | FactKind::LEVEL)
+    matches!(kind, FactKind::LOAD | FactKind::LOAD_REPORT | FactKind::SHEDDING_LEVEL)
 }
 
 /// Whether a kind tells of a moment, so that its owner does not say it again by itself.
 fn momentary(kind: FactKind) -> bool {
-    matches!(kind, FactKind::TRIAL | FactKind::SERVER)
+    matches!(kind, FactKind::EJECTION_PROBE | FactKind::SERVER_STATE)
 }
 
 /// What a fact is found by: in this order all of a kind stand together.
@@ -214,12 +214,12 @@
         // What is the same already is said again by and by.
         if held.is_some_and(|held| held.body == fact.body)
             && !frequent(fact.kind)
-            && fact.kind != FactKind::TRIAL
+            && fact.kind != FactKind::EJECTION_PROBE
         {
             return true;
         }
         let many = self.owners.get(usize::from(self.me.0)).is_none_or(|owner| owner.held >= OWNED);
-        if fact.body.len() > FACT_BYTES || (held.is_none() && many) {
+        if fact.body.len() > MAX_FACT_BYTES || (held.is_none() && many) {
             self.refused += 1;
             return false;
         }
@@ -285,10 +285,10 @@
     pub fn take(&mut self, now: Millis, stamped: Stamped) {
         let Stamped { owner, incarnation, version, age: old, fact } = stamped;
         let place = Place { kind: fact.kind, owner, key: fact.key };
-        let absurd = incarnation > HIGHEST_INCARNATION
+        let absurd = incarnation > MAX_INCARNATION
             || version > HIGHEST_VERSION
             || old > HIGHEST_AGE
-            || fact.body.len() > FACT_BYTES;
+            || fact.body.len() > MAX_FACT_BYTES;
         let Some(known) = self.owners.get(usize::from(owner.0)).filter(|_| !absurd) else {
             self.refused += 1;
             return;
--- a/crates/peers/src/facts/spread.rs
+++ b/crates/peers/src/facts/spread.rs
@@ -4,7 +4,7 @@
 
 use super::{ANSWERED, FANOUT, Facts, Held, Place, age, encode, frequent, momentary, signed};
 use crate::api::{FactKind, MemberId, Millis};
-use crate::wire::{Kind, Outbox, ROOM};
+use crate::wire::{MAX_PART_BYTES, Outbox, PartKind};
 
 impl Facts {
     /// Tells some of the living what is new, compares with one, says own facts again and lets old ones end.
@@ -15,7 +15,7 @@
         }
         if now >= self.sweep {
             self.sweep = now.saturating_add(self.period.saturating_mul(5));
-            let (often, rare) = (self.expiry(FactKind::LOAD), self.expiry(FactKind::REACH));
+            let (often, rare) = (self.expiry(FactKind::LOAD), self.expiry(FactKind::REACHABILITY));
             // What is taken back of one's own may be forgotten, what stands is said again.
             let stands = |place: &Place, held: &Held| {
                 place.owner == self.me && !held.body.is_empty() && !frequent(place.kind)
@@ -32,7 +32,7 @@
         for (nth, &to) in others.iter().take(FANOUT).enumerate() {
             let part = self.part(now, to, nth + 1 == FANOUT.min(others.len()) && nth > 0);
             if !part.is_empty() {
-                out.push(to, Kind::FACTS, &part);
+                out.push(to, PartKind::FACTS, &part);
             }
         }
         if let Some(&to) = others.last() {
@@ -70,10 +70,10 @@
                 let Some(bytes) = self.held.get(&turn.2).and_then(|held| encode(now, turn.2, held)) else {
                     continue;
                 };
-                if part.len() + bytes.len() > ROOM {
+                if part.len() + bytes.len() > MAX_PART_BYTES {
                     misfits += 1;
                     // A shorter one may still fit; not for long.
-                    if misfits > 4 || ROOM - part.len() < 16 {
+                    if misfits > 4 || MAX_PART_BYTES - part.len() < 16 {
                         continue 'full;
                     }
                     continue;
--- a/crates/peers/src/leases.rs
+++ b/crates/peers/src/leases.rs
@@ -32,18 +32,18 @@
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
 
-use crate::api::{ColdLease, Config, MemberId, Millis};
+use crate::api::{Config, MemberId, Millis, SlowStartLease};
 use crate::rendezvous;
-use crate::wire::{Kind, Outbox};
+use crate::wire::{Outbox, PartKind};
 
 /// How many loans a member asks for in a period at most.
 const ASKS: usize = 2;
 
 /// Something of which all members together may use so much.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Bound {
+pub struct SharedLimit {
     /// Which one: a server's key.
-    pub thing: u64,
+    pub resource: u64,
     /// Whole requests in each window.
     pub total: u32,
     /// The window, in milliseconds of real time.
@@ -54,9 +54,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// Lend me of this what you can spare.
-    Ask {
+    Request {
         /// What of.
-        thing: u64,
+        resource: u64,
         /// Of this borrower's process, never used before.
         nonce: u32,
         /// For so many milliseconds from now, by the borrower's clock.
@@ -74,7 +74,7 @@
 #[derive(Debug, Default)]
 struct Thing {
     /// What the whole is now, or nothing where it is not shared at present.
-    bound: Option<Bound>,
+    bound: Option<SharedLimit>,
     right: u32,
     /// Those with any right, where not all have.
     holders: Option<BTreeSet<MemberId>>,
@@ -98,7 +98,7 @@
 
 /// What this member may use, has lent and has borrowed.
 #[derive(Debug)]
-pub struct Ledger {
+pub struct LeaseTable {
     me: MemberId,
     members: Vec<MemberId>,
     started: Millis,
@@ -116,11 +116,11 @@
     rng: Pcg64Mcg,
 }
 
-impl Ledger {
+impl LeaseTable {
     /// The ledger of a process that started now with this incarnation.
-    pub fn new(config: &Config, now: Millis, incarnation: u64, seed: u64) -> Ledger {
+    pub fn new(config: &Config, now: Millis, incarnation: u64, seed: u64) -> LeaseTable {
         let timing = &config.timing;
-        Ledger {
+        LeaseTable {
             me: config.me,
             members: (0..config.members.len()).filter_map(|m| u16::try_from(m).ok()).map(MemberId).collect(),
             started: now,
@@ -137,15 +137,16 @@
     }
 
     /// How much of a total a member may use by right: over all configured members these add up to the total.
-    pub fn right(&self, thing: u64, total: u32, member: MemberId) -> u32 {
+    pub fn quota(&self, thing: u64, total: u32, member: MemberId) -> u32 {
         let shares = rendezvous::split(u64::from(total), thing, &self.members);
         let share = self.members.binary_search(&member).ok().and_then(|place| shares.get(place));
         share.and_then(|share| u32::try_from(*share).ok()).unwrap_or(0)
     }
 
     /// Takes in all that is shared now. What is not there any more is remembered while it is charged.
-    pub fn bounds(&mut self, now: Millis, bounds: impl IntoIterator<Item = Bound>) {
-        let mut fresh: BTreeMap<u64, Bound> = bounds.into_iter().map(|bound| (bound.thing, bound)).collect();
+    pub fn set_limits(&mut self, now: Millis, bounds: impl IntoIterator<Item = SharedLimit>) {
+        let mut fresh: BTreeMap<u64, SharedLimit> =
+            bounds.into_iter().map(|bound| (bound.resource, bound)).collect();
         for (key, thing) in &mut self.things {
             let bound = fresh.remove(key);
             if bound.map(|bound| bound.total) == thing.bound.map(|bound| bound.total) {
@@ -157,7 +158,7 @@
             }
         }
         for (key, bound) in fresh {
-            let right = self.right(key, bound.total, self.me);
+            let right = self.quota(key, bound.total, self.me);
             let some = (bound.total as usize) < self.members.len();
             let holders = some
                 .then(|| rendezvous::owners(key, &self.members, bound.total as usize).into_iter().collect());
@@ -171,7 +172,7 @@
     }
 
     /// Hands out what this member may use from now until so many milliseconds later at most: it counts as used.
-    pub fn grant(&mut self, now: Millis, thing: u64, span: Millis) -> Option<ColdLease> {
+    pub fn grant(&mut self, now: Millis, thing: u64, span: Millis) -> Option<SlowStartLease> {
         let span = span.min(self.longest);
         let own = self.may_use(now, thing);
         let drift = self.drift;
@@ -197,11 +198,11 @@
                 requests = requests.saturating_add(amount);
             }
         }
-        Some(ColdLease { requests, until })
+        Some(SlowStartLease { requests, until })
     }
 
     /// Asks for loans where this member has nothing left, once a period.
-    pub fn every_period(&mut self, now: Millis, living: &[MemberId], out: &mut Outbox) {
+    pub fn on_period(&mut self, now: Millis, living: &[MemberId], out: &mut Outbox) {
         self.asked.retain(|_, (_, end)| *end > now);
         self.lent.retain(|_, (until, _)| *until >= now);
         let mut short: Vec<u64> = Vec::new();
@@ -218,12 +219,12 @@
             let Some(to) = self.lender(thing, living) else { continue };
             self.nonce = self.nonce.wrapping_add(1);
             self.asked.insert(self.nonce, (thing, now.saturating_add(self.span)));
-            send(to, Message::Ask { thing, nonce: self.nonce, span: self.span }, out);
+            send(to, Message::Request { resource: thing, nonce: self.nonce, span: self.span }, out);
         }
     }
 
     /// Takes in a word of another member's process. False: it is malformed or absurd.
-    pub fn heard(
+    pub fn handle_message(
         &mut self,
         now: Millis,
         from: MemberId,
@@ -232,7 +233,9 @@
         out: &mut Outbox,
     ) -> bool {
         match postcard::from_bytes(body) {
-            Ok(Message::Ask { thing, nonce, span }) if span <= self.longest && from != self.me => {
+            Ok(Message::Request { resource: thing, nonce, span })
+                if span <= self.longest && from != self.me =>
+            {
                 if let Some(requests) = self.lend(now, (from, incarnation, nonce), thing, span) {
                     send(from, Message::Loan { nonce, requests }, out);
                 }
@@ -313,7 +316,7 @@
 
 fn send(to: MemberId, message: Message, out: &mut Outbox) {
     if let Ok(body) = postcard::to_allocvec(&message) {
-        out.push(to, Kind::LEASE, &body);
+        out.push(to, PartKind::LEASE, &body);
     }
 }
 
--- a/crates/peers/src/lists.rs
+++ b/crates/peers/src/lists.rs
@@ -32,7 +32,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::api::{Entry, Fact, FactKind, MemberId, Millis, ServerKey, Standing};
+use crate::api::{Fact, FactKind, MemberId, Millis, ServerEntry, ServerKey, ServerState};
 use crate::coordinator::Output;
 use pull::Pull;
 use store::Store;
@@ -142,12 +142,12 @@
     }
 
     /// The entry of a server as the list has it.
-    pub fn entry(&self, server: ServerKey) -> Option<Entry> {
+    pub fn entry(&self, server: ServerKey) -> Option<ServerEntry> {
         self.store.items.get(&server).and_then(|item| store::decoded(&item.body))
     }
 
     /// How the list has a server stand.
-    pub fn standing(&self, server: ServerKey) -> Option<Standing> {
+    pub fn standing(&self, server: ServerKey) -> Option<ServerState> {
         self.store.items.get(&server).map(|item| item.standing)
     }
 
@@ -161,7 +161,7 @@
         &mut self,
         version: u64,
         whole: bool,
-        entries: &[Entry],
+        entries: &[ServerEntry],
         changed: &mut Changed,
         out: &mut Vec<Output>,
     ) {
@@ -296,7 +296,7 @@
             return;
         }
         let body = told.as_ref().and_then(|told| postcard::to_allocvec(told).ok()).unwrap_or_default();
-        out.push(Output::Publish(Fact { kind: FactKind::LIST, key: 0, body }));
+        out.push(Output::Publish(Fact { kind: FactKind::LIST_VERSION, key: 0, body }));
         self.spread = told.map(|told| (told, now));
     }
 
--- a/crates/peers/src/lists/pull.rs
+++ b/crates/peers/src/lists/pull.rs
@@ -13,7 +13,7 @@
 pub use super::store::Place;
 use super::store::{BODY, ENTRIES, decoded};
 use super::{Changed, Lists, Rank};
-use crate::api::{MemberId, Millis, ServerKey, Standing};
+use crate::api::{MemberId, Millis, ServerKey, ServerState};
 use crate::coordinator::{self, Output};
 
 /// Bytes of entries in a part: 200, less 38 for all else at its longest.
@@ -93,7 +93,7 @@
 }
 
 /// What a pull of the whole has brought so far: version, standing and entry of each server.
-type Fresh = BTreeMap<ServerKey, (u64, Standing, Vec<u8>)>;
+type Fresh = BTreeMap<ServerKey, (u64, ServerState, Vec<u8>)>;
 
 /// A pull that goes on.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -276,7 +276,7 @@
                 return;
             }
             upto = place;
-            read.push((key, *at, entry.standing, body.clone()));
+            read.push((key, *at, entry.state, body.clone()));
         }
         let Some(pull) = &mut self.pull else { return };
         if upto <= pull.come || (after > pull.come && pull.ahead.len() >= BURST as usize) {
--- a/crates/peers/src/lists/store.rs
+++ b/crates/peers/src/lists/store.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::Changed;
-use crate::api::{Entry, ServerKey, Standing};
+use crate::api::{ServerEntry, ServerKey, ServerState};
 
 /// The longest encoded entry, in bytes: a datagram holds one with its head. A host's name of 64 bytes fits with 36
 /// bytes for the names of zone and machine.
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct Item {
     pub at: u64,
-    pub standing: Standing,
+    pub standing: ServerState,
     pub body: Vec<u8>,
 }
 
@@ -53,12 +53,12 @@
 }
 
 /// An entry of at most [`BODY`] bytes.
-pub(super) fn encoded(entry: &Entry) -> Option<Vec<u8>> {
+pub(super) fn encoded(entry: &ServerEntry) -> Option<Vec<u8>> {
     postcard::to_allocvec(entry).ok().filter(|body| body.len() <= BODY)
 }
 
 /// The entry that is in there, if there is one and nothing else.
-pub(super) fn decoded(body: &[u8]) -> Option<Entry> {
+pub(super) fn decoded(body: &[u8]) -> Option<ServerEntry> {
     if body.len() > BODY {
         return None;
     }
@@ -78,7 +78,7 @@
     }
 
     /// The whole list of a version: who is missing has ended.
-    pub fn replace(&mut self, entries: &[Entry], version: u64, changed: &mut Changed) {
+    pub fn replace(&mut self, entries: &[ServerEntry], version: u64, changed: &mut Changed) {
         let named: BTreeSet<ServerKey> = entries.iter().map(|entry| ServerKey::of(&entry.host)).collect();
         self.end_others(&named, version, changed);
         self.change(entries, version, true, changed);
@@ -91,11 +91,11 @@
     }
 
     /// Entries that changed at a version.
-    pub fn update(&mut self, entries: &[Entry], version: u64, changed: &mut Changed) {
+    pub fn update(&mut self, entries: &[ServerEntry], version: u64, changed: &mut Changed) {
         self.change(entries, version, false, changed);
     }
 
-    fn change(&mut self, entries: &[Entry], version: u64, whole: bool, changed: &mut Changed) {
+    fn change(&mut self, entries: &[ServerEntry], version: u64, whole: bool, changed: &mut Changed) {
         for entry in entries {
             let Some(body) = encoded(entry) else {
                 self.left_out += 1;
@@ -106,7 +106,7 @@
             if whole && self.items.get(&key).is_some_and(|item| item.body == body) {
                 continue;
             }
-            self.put(key, version, entry.standing, body, changed);
+            self.put(key, version, entry.state, body, changed);
         }
         self.forget();
     }
@@ -116,14 +116,14 @@
         let missing: Vec<ServerKey> = self
             .items
             .iter()
-            .filter(|(key, item)| item.standing != Standing::Gone && !named.contains(key))
+            .filter(|(key, item)| item.standing != ServerState::Gone && !named.contains(key))
             .map(|(key, _)| *key)
             .collect();
         for key in missing {
             let ended = self.items.get(&key).and_then(|item| decoded(&item.body));
-            let body = ended.and_then(|entry| encoded(&Entry { standing: Standing::Gone, ..entry }));
+            let body = ended.and_then(|entry| encoded(&ServerEntry { state: ServerState::Gone, ..entry }));
             if let Some(body) = body {
-                self.put(key, version, Standing::Gone, body, changed);
+                self.put(key, version, ServerState::Gone, body, changed);
             }
         }
         self.forget();
@@ -131,14 +131,21 @@
 
     /// An entry that changed at a version. An equal one takes the later place all the same: it may have changed and
     /// changed back, and who heard of the first change must hear of the second.
-    pub fn put(&mut self, key: ServerKey, at: u64, standing: Standing, body: Vec<u8>, changed: &mut Changed) {
+    pub fn put(
+        &mut self,
+        key: ServerKey,
+        at: u64,
+        standing: ServerState,
+        body: Vec<u8>,
+        changed: &mut Changed,
+    ) {
         let old = self.items.get(&key);
         if let Some(same) = old.filter(|old| old.body == body) {
             self.replace_at(key, at.max(same.at));
             return;
         }
-        if old.is_none_or(|old| old.standing == Standing::Gone)
-            && standing != Standing::Gone
+        if old.is_none_or(|old| old.standing == ServerState::Gone)
+            && standing != ServerState::Gone
             && self.live() >= ENTRIES
         {
             self.left_out += 1;
@@ -147,10 +154,10 @@
         self.remove(key);
         self.order.insert(Place { at, key: key.0 });
         match standing {
-            Standing::Gone => self.ended += 1,
+            ServerState::Gone => self.ended += 1,
             _ => self.digest = self.digest.wrapping_add(hash(&body)),
         }
-        self.serving += usize::from(standing == Standing::Serving);
+        self.serving += usize::from(standing == ServerState::Serving);
         self.items.insert(key, Item { at, standing, body });
         changed.push(key);
     }
@@ -159,10 +166,10 @@
         let Some(item) = self.items.remove(&key) else { return };
         self.order.remove(&Place { at: item.at, key: key.0 });
         match item.standing {
-            Standing::Gone => self.ended -= 1,
+            ServerState::Gone => self.ended -= 1,
             _ => self.digest = self.digest.wrapping_sub(hash(&item.body)),
         }
-        self.serving -= usize::from(item.standing == Standing::Serving);
+        self.serving -= usize::from(item.standing == ServerState::Serving);
     }
 
     fn replace_at(&mut self, key: ServerKey, at: u64) {
@@ -178,7 +185,7 @@
         let keys: Vec<ServerKey> = self.items.keys().copied().collect();
         for key in keys {
             match self.items.get(&key).map(|item| item.standing) {
-                Some(Standing::Gone) => self.remove(key),
+                Some(ServerState::Gone) => self.remove(key),
                 _ => self.replace_at(key, version),
             }
         }
@@ -191,7 +198,7 @@
             return;
         }
         let is_end = |place: &&Place| {
-            self.items.get(&ServerKey(place.key)).is_some_and(|item| item.standing == Standing::Gone)
+            self.items.get(&ServerKey(place.key)).is_some_and(|item| item.standing == ServerState::Gone)
         };
         let oldest: Vec<Place> = self.order.iter().filter(is_end).take(self.ended - ENDED).copied().collect();
         for place in oldest {
--- a/crates/peers/src/membership.rs
+++ b/crates/peers/src/membership.rs
@@ -28,11 +28,11 @@
 use serde::{Deserialize, Serialize};
 
 use crate::api::{Config, MemberId, Millis, Timing};
-use crate::wire::{HIGHEST_INCARNATION, Kind, Outbox, ROOM};
+use crate::wire::{MAX_INCARNATION, MAX_PART_BYTES, Outbox, PartKind};
 
 /// Where a member stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum MemberState {
     /// Nothing was heard of it yet.
     Unknown,
     /// It answers.
@@ -45,7 +45,7 @@
 
 /// Something that became known of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Change {
+pub struct LivenessChange {
     /// Which one.
     pub member: MemberId,
     /// The incarnation of its process.
@@ -86,7 +86,7 @@
 
 impl Configured {
     fn check(&self, id: &Id) -> Result<(), postcard::Error> {
-        if id.member.0 < self.members && id.incarnation <= HIGHEST_INCARNATION {
+        if id.member.0 < self.members && id.incarnation <= MAX_INCARNATION {
             return Ok(());
         }
         Err(postcard::Error::SerdeDeCustom)
@@ -178,7 +178,7 @@
 
 /// How many states of members are told at most where a digest differs: as many as fit one datagram at their
 /// longest.
-const STATES: usize = (ROOM - 1) / 18;
+const STATES: usize = (MAX_PART_BYTES - 1) / 18;
 
 /// How many unknown or gone members are announced to in a period.
 const ANNOUNCED: usize = 2;
@@ -247,7 +247,7 @@
             suspect_to_down_after: Duration::from_millis(timing.suspect.max(1)),
             // A member keeps its place, and a process that comes back does so as a new identity.
             remove_down_after: None,
-            max_packet_size: NonZeroUsize::MIN.saturating_add(ROOM - 1),
+            max_packet_size: NonZeroUsize::MIN.saturating_add(MAX_PART_BYTES - 1),
             notify_down_members: true,
             periodic_announce: None,
             periodic_announce_to_down_members: None,
@@ -261,21 +261,21 @@
     }
 
     /// Whether a member lives.
-    pub fn lives(&self, member: MemberId) -> bool {
+    pub fn is_alive(&self, member: MemberId) -> bool {
         self.living.binary_search(&member).is_ok()
     }
 
     /// Where a member stands.
-    pub fn standing(&self, member: MemberId) -> Standing {
+    pub fn state(&self, member: MemberId) -> MemberState {
         if member == self.me {
-            return Standing::Alive;
+            return MemberState::Alive;
         }
         let state = self.foca.iter_membership_state().find(|known| known.id().member == member);
         match state.map(|known| known.state()) {
-            None => Standing::Unknown,
-            Some(State::Alive) => Standing::Alive,
-            Some(State::Suspect) => Standing::Suspect,
-            Some(State::Down) => Standing::Gone,
+            None => MemberState::Unknown,
+            Some(State::Alive) => MemberState::Alive,
+            Some(State::Suspect) => MemberState::Suspect,
+            Some(State::Down) => MemberState::Gone,
         }
     }
 
@@ -285,7 +285,7 @@
     }
 
     /// Takes in a packet that a member's process sent. False: it is malformed, or says that it is from somebody else.
-    pub fn heard(
+    pub fn handle_packet(
         &mut self,
         now: Millis,
         from: MemberId,
@@ -314,7 +314,7 @@
 
     /// Takes in that a member suspects this one, told directly: this one objects, to that member at once and to others by
     /// gossip.
-    pub fn suspected(&mut self, now: Millis, by: MemberId, body: &[u8], out: &mut Outbox) -> bool {
+    pub fn handle_suspicion(&mut self, now: Millis, by: MemberId, body: &[u8], out: &mut Outbox) -> bool {
         let Ok((id, number)) = postcard::from_bytes::<(Id, u16)>(body) else { return false };
         if id == *self.foca.identity() {
             self.wanted.now = now;
@@ -328,7 +328,7 @@
     }
 
     /// Takes in the digest of all that a member knows of others: if it differs, that one is told some of what is known here.
-    pub fn compared(&mut self, from: MemberId, body: &[u8], out: &mut Outbox) -> bool {
+    pub fn handle_digest(&mut self, from: MemberId, body: &[u8], out: &mut Outbox) -> bool {
         let Ok(theirs) = postcard::from_bytes::<u64>(body) else { return false };
         if theirs == self.digest() {
             return true;
@@ -347,13 +347,13 @@
             }
         }
         if let Ok(body) = postcard::to_allocvec(&states) {
-            out.push(from, Kind::STATES, &body);
+            out.push(from, PartKind::MEMBER_STATES, &body);
         }
         true
     }
 
     /// Takes in what another knows of members.
-    pub fn told(&mut self, now: Millis, body: &[u8], out: &mut Outbox) -> bool {
+    pub fn handle_states(&mut self, now: Millis, body: &[u8], out: &mut Outbox) -> bool {
         let Ok(states) = postcard::from_bytes::<Vec<foca::Member<Id>>>(body) else { return false };
         let codec = Configured { members: u16::try_from(self.known.len()).unwrap_or(u16::MAX) };
         if states.len() > STATES || states.iter().any(|state| codec.check(state.id()).is_err()) {
@@ -383,7 +383,7 @@
     }
 
     /// Does what is due.
-    pub fn woke(&mut self, now: Millis, out: &mut Outbox) {
+    pub fn run_timers(&mut self, now: Millis, out: &mut Outbox) {
         self.wanted.now = now;
         while let Some(Reverse(due)) = self.timers.peek() {
             if due.at > now {
@@ -409,25 +409,25 @@
 
     /// Announces this member to some who do not know it or are gone, once a period: whoever cannot be heard may be
     /// behind a cut that heals.
-    pub fn every_period(&mut self, now: Millis, out: &mut Outbox) {
+    pub fn on_period(&mut self, now: Millis, out: &mut Outbox) {
         self.wanted.now = now;
         let digest = postcard::to_allocvec(&self.digest()).unwrap_or_default();
         let place = self.rng.random_range(0..self.living.len().max(1));
         if let Some(&to) = self.living.get(place).filter(|to| **to != self.me) {
-            out.push(to, Kind::KNOWN, &digest);
+            out.push(to, PartKind::MEMBER_DIGEST, &digest);
         }
         let absent = self.known.len().saturating_sub(self.living.len());
         // One who is there is passed over: with most there, the few that are not are looked for.
         let mut others: Vec<u16> = Vec::new();
         if absent * 8 < self.known.len() {
-            others.extend((0..self.known.len() as u16).filter(|&member| !self.lives(MemberId(member))));
+            others.extend((0..self.known.len() as u16).filter(|&member| !self.is_alive(MemberId(member))));
         }
         for _ in 0..ANNOUNCED.min(absent) {
             let member = match others.len() {
                 0 => self.rng.random_range(0..self.known.len() as u16),
                 count => others.swap_remove(self.rng.random_range(0..count)),
             };
-            if !self.lives(MemberId(member)) {
+            if !self.is_alive(MemberId(member)) {
                 let to = Id { member: MemberId(member), incarnation: 0, returns: 0 };
                 let _ = self.foca.announce(to, &mut self.wanted);
             }
@@ -436,15 +436,15 @@
     }
 
     /// When something is due next.
-    pub fn wake_at(&self) -> Option<Millis> {
+    pub fn next_timer(&self) -> Option<Millis> {
         self.timers.peek().map(|Reverse(due)| due.at)
     }
 
     /// What became known since the last time.
-    pub fn changes(&mut self) -> Vec<Change> {
+    pub fn take_changes(&mut self) -> Vec<LivenessChange> {
         let mut changes = Vec::new();
         for (id, alive) in std::mem::take(&mut self.wanted.changes) {
-            let alive = alive.unwrap_or_else(|| self.standing(id.member) != Standing::Gone);
+            let alive = alive.unwrap_or_else(|| self.state(id.member) != MemberState::Gone);
             let Some(known) = self.known.get_mut(usize::from(id.member.0)) else { continue };
             let change = (id.incarnation, alive);
             // What `foca` tells is in its order; of a process that is known to be replaced nothing is new.
@@ -457,7 +457,7 @@
                 Err(place) if alive => self.living.insert(place, id.member),
                 _ => {}
             }
-            changes.push(Change { member: id.member, incarnation: id.incarnation, alive });
+            changes.push(LivenessChange { member: id.member, incarnation: id.incarnation, alive });
         }
         changes
     }
@@ -470,7 +470,7 @@
             return;
         }
         if let Ok(body) = postcard::to_allocvec(&(id, number)) {
-            out.push(id.member, Kind::SUSPECTED, &body);
+            out.push(id.member, PartKind::SUSPICION, &body);
         }
         if let Some(more) = more.checked_sub(1) {
             let at = now.saturating_add((self.timing.suspect / u64::from(TELLS)).max(1));
@@ -482,7 +482,7 @@
     fn act(&mut self, out: &mut Outbox) {
         for (to, packet) in self.wanted.send.drain(..) {
             if to.member != self.me {
-                out.push(to.member, Kind::MEMBERSHIP, &packet);
+                out.push(to.member, PartKind::MEMBERSHIP, &packet);
             }
         }
         for due in self.wanted.timers.drain(..) {
--- a/crates/peers/src/overload/admission.rs
+++ b/crates/peers/src/overload/admission.rs
@@ -5,7 +5,7 @@
 //! an equal part of it. The parts do not depend on how much of each class comes: the same level means the same chances
 //! at every member, whatever sample of the fleet it has heard, and that is what the members agree on.
 
-use crate::api::ClassWorth;
+use crate::api::ClassPriority;
 
 use super::figures::Rates;
 
@@ -27,14 +27,15 @@
 
 impl Order {
     /// The order of classes with such worth and service times (0: unknown, then as long as the others').
-    pub fn new(worth: &[ClassWorth], classes: &[Rates], floor: f64) -> Order {
+    pub fn new(worth: &[ClassPriority], classes: &[Rates], floor: f64) -> Order {
         let known = || classes.iter().map(|rates| rates.service_ms).filter(|&time| time > 0.0);
         let usual = if known().count() > 0 { known().sum::<f64>() / known().count() as f64 } else { 1.0 };
         let earns: Vec<f64> = (worth.iter().enumerate())
             .map(|(class, worth)| {
                 let time = classes.get(class).map(|rates| rates.service_ms).filter(|&time| time > 0.0);
-                let work = if worth.by_work { 1.0 } else { time.unwrap_or(usual) };
-                let worth = if worth.worth.is_finite() { worth.worth.max(1e-9) } else { 1e-9 };
+                let work = if worth.per_work_unit { 1.0 } else { time.unwrap_or(usual) };
+                let worth =
+                    if worth.priority_weight.is_finite() { worth.priority_weight.max(1e-9) } else { 1e-9 };
                 (worth / work).ln()
             })
             .collect();
@@ -94,8 +95,8 @@
         times.iter().map(|&service_ms| Rates { first_tries: 10.0, service_ms, ..Rates::default() }).collect()
     }
 
-    fn worth(worth: &[f64], by_work: bool) -> Vec<ClassWorth> {
-        worth.iter().map(|&worth| ClassWorth { worth, by_work }).collect()
+    fn worth(worth: &[f64], by_work: bool) -> Vec<ClassPriority> {
+        worth.iter().map(|&worth| ClassPriority { priority_weight: worth, per_work_unit: by_work }).collect()
     }
 
     #[test]
--- a/crates/peers/src/overload/budgets.rs
+++ b/crates/peers/src/overload/budgets.rs
@@ -60,7 +60,7 @@
             let second = (share * first_tries).ceil().max(1.0) as u32;
             Allowance { share, burst: if share > 0.0 { right.min(second) } else { 0 } }
         };
-        let copies = budgets.copies * (1.0 - level / NO_COPIES_AT).max(0.0);
+        let copies = budgets.hedges * (1.0 - level / NO_COPIES_AT).max(0.0);
         [allowance(budgets.retries, self.retries), allowance(copies, self.copies)]
     }
 }
@@ -83,7 +83,7 @@
         let rates = [Rates { first_tries: 1e6, ..Rates::default() }];
         for count in [1_u16, 7, 300, 1_000] {
             let members: Vec<MemberId> = (0..count).map(MemberId).collect();
-            let budgets = Budgets { retries: 0.1, copies: 0.05 };
+            let budgets = Budgets { retries: 0.1, hedges: 0.05 };
             let allowed: Vec<[Allowance; 2]> =
                 members.iter().map(|&me| Rights::new(me, &members).allowed(&budgets, &rates, 0.0)).collect();
             for kind in 0..2 {
--- a/crates/peers/src/overload/duties.rs
+++ b/crates/peers/src/overload/duties.rs
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::api::{Fact, FactKind, Known, MemberId, Millis, Report, ServerKey};
+use crate::api::{Fact, FactKind, KnownServer, LoadReport, MemberId, Millis, ServerKey};
 use crate::rendezvous;
 
 /// Members that ask a server for its load: two, so that one that fails is not missed.
@@ -40,7 +40,7 @@
 
 impl Duties {
     /// Takes the servers that there are now.
-    pub fn servers(&mut self, now: Millis, servers: &[Known]) {
+    pub fn servers(&mut self, now: Millis, servers: &[KnownServer]) {
         let names: BTreeSet<ServerKey> = servers.iter().map(|known| known.server).collect();
         self.servers.retain(|key, _| names.contains(key));
         for known in servers {
@@ -105,19 +105,19 @@
     }
 
     /// A server told its load to this member: the fact for the others, where it was its duty to ask.
-    pub fn reported(&mut self, now: Millis, key: ServerKey, report: Report) -> Option<Fact> {
+    pub fn reported(&mut self, now: Millis, key: ServerKey, report: LoadReport) -> Option<Fact> {
         let server = self.servers.get(&key)?;
         let duty = self.asks(now, server);
         self.servers.get_mut(&key)?.heard = now;
         let body = postcard::to_allocvec(&sensible(report)).ok()?;
-        duty.then_some(Fact { kind: FactKind::REPORT, key: key.0, body })
+        duty.then_some(Fact { kind: FactKind::LOAD_REPORT, key: key.0, body })
     }
 
     /// A trial by this member ended: the fact for the others.
     pub fn tried(&mut self, now: Millis, key: ServerKey, well: bool) -> Option<Fact> {
         self.servers.get_mut(&key)?.tried = now;
         let body = postcard::to_allocvec(&Trial { well }).ok()?;
-        Some(Fact { kind: FactKind::TRIAL, key: key.0, body })
+        Some(Fact { kind: FactKind::EJECTION_PROBE, key: key.0, body })
     }
 
     /// Another member told of a server.
@@ -147,8 +147,8 @@
 }
 
 /// What a REPORT fact says; `None` for one that makes no sense.
-pub fn report_of(fact: &Fact) -> Option<Report> {
-    if fact.kind != FactKind::REPORT {
+pub fn report_of(fact: &Fact) -> Option<LoadReport> {
+    if fact.kind != FactKind::LOAD_REPORT {
         return None;
     }
     let (report, rest) = postcard::take_from_bytes(&fact.body).ok()?;
@@ -157,7 +157,7 @@
 
 /// What a TRIAL fact says: whether the server answered; `None` for one that makes no sense.
 pub fn trial_of(fact: &Fact) -> Option<bool> {
-    if fact.kind != FactKind::TRIAL {
+    if fact.kind != FactKind::EJECTION_PROBE {
         return None;
     }
     let (Trial { well }, rest) = postcard::take_from_bytes(&fact.body).ok()?;
@@ -165,9 +165,9 @@
 }
 
 /// A report without figures that no server can have.
-fn sensible(report: Report) -> Report {
+fn sensible(report: LoadReport) -> LoadReport {
     let amount = |figure: Option<f32>| figure.filter(|figure| figure.is_finite() && *figure >= 0.0);
-    Report {
+    LoadReport {
         in_flight: amount(report.in_flight),
         utilisation: amount(report.utilisation).map(|share| share.min(1.0)),
         served_per_s: amount(report.served_per_s),
@@ -180,7 +180,7 @@
 
     fn fleet(members: u16, servers: u64) -> (Vec<Duties>, Vec<MemberId>) {
         let living: Vec<MemberId> = (0..members).map(MemberId).collect();
-        let known: Vec<Known> = (0..servers).map(|key| known(key, false)).collect();
+        let known: Vec<KnownServer> = (0..servers).map(|key| known(key, false)).collect();
         let duties = living.iter().map(|&me| {
             let mut duties = Duties::default();
             duties.living(0, me, living.clone());
@@ -190,9 +190,9 @@
         (duties.collect(), living)
     }
 
-    fn known(key: u64, ejected: bool) -> Known {
+    fn known(key: u64, ejected: bool) -> KnownServer {
         let server = ServerKey(key);
-        Known { server, started: None, cold_requests: 0.0, cold_window: 1_000, ejected }
+        KnownServer { server, started: None, slow_start_requests: 0.0, slow_start_window: 1_000, ejected }
     }
 
     /// By server, who asks it.
@@ -240,7 +240,7 @@
             assert!(asked.values().all(|asking| asking.len() == by), "{second}: {asked:?}");
         }
         let fact =
-            duties.iter_mut().find_map(|duties| duties.reported(60_000, ServerKey(7), Report::default()));
+            duties.iter_mut().find_map(|duties| duties.reported(60_000, ServerKey(7), LoadReport::default()));
         duties.iter_mut().for_each(|duties| duties.heard(60_000, fact.as_ref().unwrap()));
         assert_eq!(asked(&duties, 60_500)[&ServerKey(7)].len(), ASKED_BY);
     }
@@ -269,10 +269,11 @@
 
     #[test]
     fn reports_that_make_no_sense_are_refused_or_trimmed() {
-        let report = Report { in_flight: Some(f32::NAN), utilisation: Some(9.0), served_per_s: Some(-1.0) };
+        let report =
+            LoadReport { in_flight: Some(f32::NAN), utilisation: Some(9.0), served_per_s: Some(-1.0) };
         let body = postcard::to_allocvec(&report).unwrap();
-        let fact = Fact { kind: FactKind::REPORT, key: 1, body };
-        let sense = Report { in_flight: None, utilisation: Some(1.0), served_per_s: None };
+        let fact = Fact { kind: FactKind::LOAD_REPORT, key: 1, body };
+        let sense = LoadReport { in_flight: None, utilisation: Some(1.0), served_per_s: None };
         assert_eq!(report_of(&fact), Some(sense));
         assert_eq!(report_of(&Fact { body: vec![1, 2], ..fact.clone() }), None);
         assert_eq!(trial_of(&fact), None);
--- a/crates/peers/src/overload/figures.rs
+++ b/crates/peers/src/overload/figures.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::api::{ClassCounts, FACT_BYTES, Fact, FactKind, Millis};
+use crate::api::{ClassCounts, Fact, FactKind, MAX_FACT_BYTES, Millis};
 
 /// Over how many milliseconds a member's rates are averaged: long enough to see ten requests of a member with 35 a
 /// second, short enough for the end of a load to show in time.
@@ -12,7 +12,7 @@
 const FIGURES: usize = 10;
 
 /// Classes in a piece: each takes [`FIGURES`] codes of two bytes at most, and the piece says how many there are.
-pub const CLASSES_A_PIECE: usize = (FACT_BYTES - 1) / (2 * FIGURES);
+pub const CLASSES_A_PIECE: usize = (MAX_FACT_BYTES - 1) / (2 * FIGURES);
 
 /// The least figure that is not written as nought, and the ratio between neighbouring codes as a logarithm: 0.08% of
 /// error at the most, and all up to 5 × 10^8.
@@ -133,17 +133,17 @@
         self.rates.resize(counts.len(), Rates::default());
         let per_second = |count: u32| f64::from(count) * 1_000.0 / passed;
         for (number, (rates, counts)) in self.rates.iter_mut().zip(counts).enumerate() {
-            let came = per_second(counts.first_tries) + per_second(counts.repeats);
+            let came = per_second(counts.first_attempts) + per_second(counts.client_retries);
             let seen = Rates {
-                first_tries: per_second(counts.first_tries),
-                repeats: per_second(counts.repeats),
+                first_tries: per_second(counts.first_attempts),
+                repeats: per_second(counts.client_retries),
                 let_in: came * admit.get(number).copied().unwrap_or(1.0),
                 served: per_second(counts.served),
-                refused: per_second(counts.refused),
+                refused: per_second(counts.rejected),
                 failed: per_second(counts.failed),
                 retries: per_second(counts.retries),
-                copies: per_second(counts.copies),
-                held: f64::from(counts.held),
+                copies: per_second(counts.hedges),
+                held: f64::from(counts.in_flight),
                 service_ms: 0.0,
             };
             // The module's own figure is averaged already.
@@ -166,13 +166,13 @@
 /// A piece of a member's rates as a fact.
 fn written(piece: u64, rates: &[Rates]) -> Option<Fact> {
     let codes = rates.iter().map(|rates| rates.figures().map(code)).collect();
-    let body = postcard::to_allocvec(&Piece(codes)).ok().filter(|body| body.len() <= FACT_BYTES)?;
+    let body = postcard::to_allocvec(&Piece(codes)).ok().filter(|body| body.len() <= MAX_FACT_BYTES)?;
     Some(Fact { kind: FactKind::LOAD, key: piece, body })
 }
 
 /// The number of the first class of a LOAD fact, and the rates of its classes; `None` for what makes no sense.
 pub fn read(fact: &Fact) -> Option<(usize, Vec<Rates>)> {
-    if fact.kind != FactKind::LOAD || fact.body.len() > FACT_BYTES {
+    if fact.kind != FactKind::LOAD || fact.body.len() > MAX_FACT_BYTES {
         return None;
     }
     let (Piece(codes), rest) = postcard::take_from_bytes(&fact.body).ok()?;
@@ -222,8 +222,8 @@
     fn classes_that_do_not_fit_go_to_further_pieces() {
         let counts: Vec<ClassCounts> = (0..16)
             .map(|n| ClassCounts {
-                first_tries: 4_000_000 + n,
-                held: u32::MAX,
+                first_attempts: 4_000_000 + n,
+                in_flight: u32::MAX,
                 service_ms: 1e9,
                 ..Default::default()
             })
@@ -232,7 +232,7 @@
         own.count(1_000, &counts, &[0.5], 200);
         let facts = own.facts();
         assert_eq!(facts.len(), 3);
-        assert!(facts.iter().all(|fact| fact.body.len() <= FACT_BYTES));
+        assert!(facts.iter().all(|fact| fact.body.len() <= MAX_FACT_BYTES));
         let (first, rates) = read(&facts[2]).unwrap();
         assert_eq!((first, rates.len()), (14, 2));
         assert!((rates[1].first_tries / 20_000_075.0 - 1.0).abs() < 0.001);
--- a/crates/peers/src/overload/mod.rs
+++ b/crates/peers/src/overload/mod.rs
@@ -12,7 +12,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::api::{ClassCounts, Config, Fact, FactKind, Guidance, Known, MemberId, Millis, Report, ServerKey};
+use crate::api::{
+    ClassCounts, Config, Fact, FactKind, Guidance, KnownServer, LoadReport, MemberId, Millis, ServerKey,
+};
 
 mod admission;
 mod budgets;
@@ -89,7 +91,7 @@
                     self.table.load(now, owner, first, rates, self.config.classes.len());
                 }
             }
-            FactKind::LEVEL => {
+            FactKind::SHEDDING_LEVEL => {
                 if let Some(word) = word_of(fact) {
                     self.table.word(now, owner, word);
                 }
@@ -99,12 +101,12 @@
     }
 
     /// Takes all servers that the module may use.
-    pub fn servers(&mut self, now: Millis, servers: &[Known]) {
+    pub fn servers(&mut self, now: Millis, servers: &[KnownServer]) {
         self.duties.servers(now, servers);
     }
 
     /// A server told its load to this member: what others should hear, if it was this member's duty to ask.
-    pub fn reported(&mut self, now: Millis, server: ServerKey, report: Report) -> Option<Fact> {
+    pub fn reported(&mut self, now: Millis, server: ServerKey, report: LoadReport) -> Option<Fact> {
         self.duties.reported(now, server, report)
     }
 
@@ -145,10 +147,10 @@
         if together {
             let [retries, copies] = self.rights.allowed(&self.config.budgets, &self.own.rates, level);
             guidance.retries = Some(retries);
-            guidance.copies = Some(copies);
-            guidance.probes = Some(self.duties.probes(now));
-            guidance.trials = Some(self.duties.trials(now));
-            guidance.come_back = Some(budgets::come_back(me, living, self.turn));
+            guidance.hedges = Some(copies);
+            guidance.load_polls = Some(self.duties.probes(now));
+            guidance.ejection_probes = Some(self.duties.trials(now));
+            guidance.retry_after_range = Some(budgets::come_back(me, living, self.turn));
         }
         (guidance, fact)
     }
@@ -178,7 +180,7 @@
     let capacity = word.capacity.map_or(0, |capacity| figures::code(capacity).max(1));
     let body =
         postcard::to_allocvec(&Said { level: part(word.level), wants: part(word.wants), capacity }).ok()?;
-    Some(Fact { kind: FactKind::LEVEL, key: 0, body })
+    Some(Fact { kind: FactKind::SHEDDING_LEVEL, key: 0, body })
 }
 
 fn word_of(fact: &Fact) -> Option<Word> {
--- a/crates/peers/src/overload/tests.rs
+++ b/crates/peers/src/overload/tests.rs
@@ -4,12 +4,12 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::*;
-use crate::api::{Allowance, Budgets, ClassWorth, Member, RegionId, Timing};
+use crate::api::{Allowance, Budgets, ClassPriority, Member, RegionId, Timing};
 
 const PERIOD: Millis = 200;
 /// Worth, milliseconds of work, share of arrivals.
 const CLASSES: [(f64, f64, f64); 3] = [(10.0, 40.0, 0.2), (3.0, 40.0, 0.5), (1.0, 80.0, 0.3)];
-const BUDGETS: Budgets = Budgets { retries: 0.1, copies: 0.05 };
+const BUDGETS: Budgets = Budgets { retries: 0.1, hedges: 0.05 };
 
 fn config(me: u16, members: u16) -> Arc<Config> {
     let member = |n| Member {
@@ -22,7 +22,9 @@
         me: MemberId(me),
         members: (0..members).map(member).collect(),
         regions: vec![String::new()],
-        classes: CLASSES.map(|(worth, _, _)| ClassWorth { worth, by_work: false }).to_vec(),
+        classes: CLASSES
+            .map(|(worth, _, _)| ClassPriority { priority_weight: worth, per_work_unit: false })
+            .to_vec(),
         class_floor: 0.05,
         budgets: BUDGETS,
         timing: Timing::default(),
@@ -107,8 +109,12 @@
                 let lost = if class == 0 { 1.0 - self.lost_class } else { 1.0 };
                 work += f64::from(let_in[member][class]) * time * lost;
                 let service_ms = time * self.shape[member][1];
-                counts[member][class] =
-                    ClassCounts { first_tries, repeats, service_ms, ..Default::default() };
+                counts[member][class] = ClassCounts {
+                    first_attempts: first_tries,
+                    client_retries: repeats,
+                    service_ms,
+                    ..Default::default()
+                };
             }
         }
         let busy = work / (self.capacity * count as f64 * seconds);
@@ -120,21 +126,22 @@
                 let in_here = let_in[member][class];
                 let found = room * if class == 0 { 1.0 - self.lost_class } else { 1.0 };
                 let served = (0..in_here).filter(|_| self.rng.random::<f64>() < found).count() as u32;
-                (counts.served, counts.refused) = (served, counts.first_tries + counts.repeats - served);
-                counts.held = served / 4;
+                (counts.served, counts.rejected) =
+                    (served, counts.first_attempts + counts.client_retries - served);
+                counts.in_flight = served / 4;
                 // The module's purse: earn, and spend on the tenth that fails at first.
                 if let Some(Allowance { share, burst }) = self.guidance[member].retries {
                     let purse = &mut self.purses[member];
-                    *purse = (*purse + share * f64::from(counts.first_tries)).min(f64::from(burst));
+                    *purse = (*purse + share * f64::from(counts.first_attempts)).min(f64::from(burst));
                     let failing = (0..in_here).filter(|_| self.rng.random::<f64>() < 0.3).count() as f64;
                     let spent = purse.floor().min(failing);
                     *purse -= spent;
                     (counts.retries, self.retries) = (spent as u32, self.retries + spent);
                 }
-                self.first_tries += f64::from(counts.first_tries);
+                self.first_tries += f64::from(counts.first_attempts);
                 self.served[class] += f64::from(served);
-                self.came[class] += f64::from(counts.first_tries + counts.repeats);
-                refused += f64::from(counts.refused);
+                self.came[class] += f64::from(counts.first_attempts + counts.client_retries);
+                refused += f64::from(counts.rejected);
             }
         }
         self.refused_before = refused / self.came.iter().sum::<f64>().max(1.0);
@@ -163,9 +170,9 @@
         }
         for member in 0..self.hostile {
             let lies = ClassCounts {
-                first_tries: u32::MAX,
-                refused: u32::MAX,
-                held: u32::MAX,
+                first_attempts: u32::MAX,
+                rejected: u32::MAX,
+                in_flight: u32::MAX,
                 ..Default::default()
             };
             let mut liar = Own::default();
@@ -275,12 +282,16 @@
     let mut fleet = Fleet::new(20, 3);
     (0..60).for_each(|_| fleet.period(1.8));
     let mut level = fleet.levels[0];
-    assert!(level > 0.2 && fleet.guidance[0].probes.is_some() && fleet.guidance[0].come_back.is_some());
+    assert!(
+        level > 0.2
+            && fleet.guidance[0].load_polls.is_some()
+            && fleet.guidance[0].retry_after_range.is_some()
+    );
     let living: Vec<MemberId> = (0..20).map(MemberId).collect();
     let until = fleet.now + ALONE_AFTER + 2_000;
     while fleet.now < until {
         fleet.now += PERIOD;
-        fleet.members[0].counted(fleet.now, &[ClassCounts { first_tries: 9, ..Default::default() }; 3]);
+        fleet.members[0].counted(fleet.now, &[ClassCounts { first_attempts: 9, ..Default::default() }; 3]);
         let (guidance, said) = fleet.members[0].decide(fleet.now, MemberId(0), &living);
         assert!((guidance.level - level).abs() <= 0.31, "{level} to {}", guidance.level);
         assert_eq!(said.len(), 1, "who comes back must be told");
--- a/crates/peers/src/peer.rs
+++ b/crates/peers/src/peer.rs
@@ -8,17 +8,18 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::api::{
-    Config, Fact, FactKind, Guidance, Input, Known, MemberId, Millis, Output, Reach, ServerKey, Standing,
+    Config, Fact, FactKind, Guidance, Input, KnownServer, MemberId, Millis, Output, Reachability, ServerKey,
+    ServerState,
 };
 use crate::config::{ConfigError, check};
 use crate::coordinator::{self, Coordinator};
 use crate::facts::{Facts, News};
-use crate::later_start::LaterStart;
-use crate::leases::{Bound, Ledger};
+use crate::incarnation_claims::IncarnationClaims;
+use crate::leases::{LeaseTable, SharedLimit};
 use crate::membership::Membership;
 use crate::overload::{self, Overload};
-use crate::view::View;
-use crate::wire::{self, HIGHEST_INCARNATION, Head, Kind, Outbox};
+use crate::stats::Stats;
+use crate::wire::{self, DatagramHeader, MAX_INCARNATION, Outbox, PartKind};
 
 /// What this member saw of a server is taken back when it was not seen again for so many leases.
 const SEEN_LEASES: u64 = 10;
@@ -38,13 +39,13 @@
     rng: Pcg64Mcg,
     membership: Membership,
     facts: Facts,
-    ledger: Ledger,
+    ledger: LeaseTable,
     coordinator: Coordinator,
     overload: Overload,
     /// How discovery looks from here, as was told last.
-    reach: Option<Reach>,
+    reach: Option<Reachability>,
     /// The servers that were told last, if any were.
-    servers: Option<Vec<Known>>,
+    servers: Option<Vec<KnownServer>>,
     /// What this member saw of servers.
     seen: BTreeMap<ServerKey, Seen>,
     /// When the next period begins, when the coordinator wants to be woken, and the wake that was asked for last.
@@ -55,7 +56,7 @@
     outdated: u8,
     renewed: Option<Millis>,
     /// What others claim to know of later starts of this one.
-    later_start: LaterStart,
+    incarnation_claims: IncarnationClaims,
     datagrams_in: u64,
     datagrams_out: u64,
     bytes_in: u64,
@@ -66,7 +67,7 @@
 /// What a member saw of a server, when last, and when it said so last.
 #[derive(Debug, Clone, Copy)]
 struct Seen {
-    standing: Standing,
+    standing: ServerState,
     at: Millis,
     said: Millis,
 }
@@ -76,20 +77,18 @@
     /// such as the Unix time of the start in milliseconds.
     pub fn new(config: Config, now: Millis, incarnation: u64, seed: u64) -> Result<Peer, ConfigError> {
         check(&config)?;
-        if incarnation > HIGHEST_INCARNATION {
-            return Err(ConfigError(format!(
-                "an incarnation of {incarnation} is above {HIGHEST_INCARNATION}"
-            )));
+        if incarnation > MAX_INCARNATION {
+            return Err(ConfigError(format!("an incarnation of {incarnation} is above {MAX_INCARNATION}")));
         }
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let config = Arc::new(config);
         let first = rng.random_range(0..config.timing.period);
         Ok(Peer {
-            digest: wire::digest(&config),
+            digest: wire::config_digest(&config),
             incarnation,
             membership: Membership::new(&config, incarnation, rng.random()),
             facts: Facts::new(&config, now, incarnation, rng.random()),
-            ledger: Ledger::new(&config, now, incarnation, rng.random()),
+            ledger: LeaseTable::new(&config, now, incarnation, rng.random()),
             coordinator: Coordinator::new(Arc::clone(&config), now, incarnation, rng.random()),
             overload: Overload::new(Arc::clone(&config), now),
             reach: None,
@@ -101,7 +100,7 @@
             asked: None,
             outdated: OUTDATED_TOLD,
             renewed: None,
-            later_start: LaterStart::new(incarnation, config.members.len().saturating_sub(1)),
+            incarnation_claims: IncarnationClaims::new(incarnation, config.members.len().saturating_sub(1)),
             datagrams_in: 0,
             datagrams_out: 0,
             bytes_in: 0,
@@ -115,31 +114,33 @@
     /// Takes in what happened at `now`, and appends what should be done. The first call, whatever it is for, asks for
     /// the first timer.
     pub fn handle(&mut self, now: Millis, input: Input, out: &mut Vec<Output>) {
-        let mut outbox = Outbox::new(Head::new(self.digest, self.config.me, self.incarnation));
+        let mut outbox = Outbox::new(DatagramHeader::new(self.digest, self.config.me, self.incarnation));
         match input {
             Input::Datagram { from, bytes } => self.datagram(now, from, bytes, &mut outbox, out),
             Input::Woke => {}
             Input::Discovery(reach) => self.reached(now, reach, &mut outbox, out),
-            Input::Listed { version, whole, entries } => {
-                self.reached(now, Reach::Up, &mut outbox, out);
+            Input::ListUpdate { version, complete: whole, entries } => {
+                self.reached(now, Reachability::Up, &mut outbox, out);
                 let listed = coordinator::Input::ListUpdate { version, complete: whole, entries };
                 self.coordinate(now, listed, &mut outbox, out);
             }
-            Input::Saw { server, standing } => self.saw(now, server, standing, &mut outbox, out),
-            Input::Counted(counts) => {
+            Input::ServerObserved { server, state: standing } => {
+                self.saw(now, server, standing, &mut outbox, out)
+            }
+            Input::Counts(counts) => {
                 let facts = self.overload.counted(now, &counts);
                 self.put(now, facts);
             }
             Input::Servers(servers) => {
                 self.overload.servers(now, &servers);
-                self.ledger.bounds(now, servers.iter().filter_map(cold));
+                self.ledger.set_limits(now, servers.iter().filter_map(cold));
                 self.servers = Some(servers);
             }
-            Input::Reported { server, report } => {
+            Input::LoadReported { server, report } => {
                 let fact = self.overload.reported(now, server, report);
                 self.put(now, fact);
             }
-            Input::Tried { server, well } => {
+            Input::EjectionProbeEnded { server, succeeded: well } => {
                 let fact = self.overload.tried(now, server, well);
                 self.put(now, fact);
             }
@@ -158,21 +159,21 @@
     }
 
     /// Its figures.
-    pub fn view(&self) -> View {
-        View {
+    pub fn stats(&self) -> Stats {
+        Stats {
             living: self.membership.living().len(),
             members: self.config.members.len(),
             role: self.coordinator.role(),
             term: self.coordinator.term(),
             level: self.overload.level(),
-            refused_words: self.coordinator.stale_rejected(),
-            refused_facts: self.facts.refused(),
+            stale_rejected: self.coordinator.stale_rejected(),
+            rejected_facts: self.facts.refused(),
             facts: self.facts.len(),
             datagrams_in: self.datagrams_in,
             datagrams_out: self.datagrams_out,
             bytes_in: self.bytes_in,
             bytes_out: self.bytes_out,
-            refused_datagrams: self.refused_datagrams,
+            dropped_datagrams: self.refused_datagrams,
         }
     }
 
@@ -199,7 +200,7 @@
         outbox: &mut Outbox,
         out: &mut Vec<Output>,
     ) {
-        let Ok((head, parts)) = wire::read(bytes, self.digest) else {
+        let Ok((head, parts)) = wire::decode(bytes, self.digest) else {
             self.refused_datagrams += 1;
             return;
         };
@@ -213,7 +214,7 @@
             self.refused_datagrams += 1;
             if let (Some(left), Ok(body)) = (self.outdated.checked_sub(1), postcard::to_allocvec(&newest)) {
                 self.outdated = left;
-                outbox.push(head.sender, Kind::OUTDATED, &body);
+                outbox.push(head.sender, PartKind::STALE_INCARNATION, &body);
             }
             return;
         }
@@ -230,28 +231,28 @@
     fn part(
         &mut self,
         now: Millis,
-        head: &Head,
-        kind: Kind,
+        head: &DatagramHeader,
+        kind: PartKind,
         part: &[u8],
         outbox: &mut Outbox,
         out: &mut Vec<Output>,
     ) -> bool {
         let (from, incarnation) = (head.sender, head.incarnation);
         match kind {
-            Kind::MEMBERSHIP => self.membership.heard(now, from, incarnation, part, outbox),
-            Kind::SUSPECTED => self.membership.suspected(now, from, part, outbox),
-            Kind::KNOWN => self.membership.compared(from, part, outbox),
-            Kind::STATES => self.membership.told(now, part, outbox),
-            Kind::FACTS => self.facts.heard(now, part),
-            Kind::COMPARE => self.facts.compared(now, from, part, outbox),
-            Kind::LEASE => self.ledger.heard(now, from, incarnation, part, outbox),
-            Kind::COORDINATOR => {
+            PartKind::MEMBERSHIP => self.membership.handle_packet(now, from, incarnation, part, outbox),
+            PartKind::SUSPICION => self.membership.handle_suspicion(now, from, part, outbox),
+            PartKind::MEMBER_DIGEST => self.membership.handle_digest(from, part, outbox),
+            PartKind::MEMBER_STATES => self.membership.handle_states(now, part, outbox),
+            PartKind::FACTS => self.facts.heard(now, part),
+            PartKind::FACT_SYNC => self.facts.compared(now, from, part, outbox),
+            PartKind::LEASE => self.ledger.handle_message(now, from, incarnation, part, outbox),
+            PartKind::COORDINATOR => {
                 let Ok(message) = postcard::from_bytes(part) else { return false };
                 let message = coordinator::Input::Message { from, incarnation, message };
                 self.coordinate(now, message, outbox, out);
                 true
             }
-            Kind::OUTDATED => match postcard::from_bytes::<u64>(part) {
+            PartKind::STALE_INCARNATION => match postcard::from_bytes::<u64>(part) {
                 Ok(newest) => {
                     self.outdated(now, from, newest, outbox, out);
                     true
@@ -274,11 +275,11 @@
         outbox: &mut Outbox,
         out: &mut Vec<Output>,
     ) {
-        let Some(newest) = self.later_start.claimed(by, start, self.incarnation) else { return };
+        let Some(newest) = self.incarnation_claims.claimed(by, start, self.incarnation) else { return };
         if self.renewed.is_some_and(|at| now.saturating_sub(at) < self.config.timing.lease) {
             return;
         }
-        out.push(Output::Note(format!(
+        out.push(Output::Log(format!(
             "others know a start of this member at {newest}, and it started at {}: was its clock set back? \
              It goes on as {}",
             self.incarnation,
@@ -289,14 +290,14 @@
         let own = self.facts.own();
         self.membership = Membership::new(&self.config, self.incarnation, self.rng.random());
         self.facts = Facts::new(&self.config, now, self.incarnation, self.rng.random());
-        self.ledger = Ledger::new(&self.config, now, self.incarnation, self.rng.random());
+        self.ledger = LeaseTable::new(&self.config, now, self.incarnation, self.rng.random());
         let seed = self.rng.random();
         self.coordinator = Coordinator::new(Arc::clone(&self.config), now, self.incarnation, seed);
-        *outbox = Outbox::new(Head::new(self.digest, self.config.me, self.incarnation));
+        *outbox = Outbox::new(DatagramHeader::new(self.digest, self.config.me, self.incarnation));
         // The list it gets from others, as one that starts does.
-        self.put(now, own.into_iter().filter(|fact| fact.kind != FactKind::LIST));
+        self.put(now, own.into_iter().filter(|fact| fact.kind != FactKind::LIST_VERSION));
         if let Some(servers) = &self.servers {
-            self.ledger.bounds(now, servers.iter().filter_map(cold));
+            self.ledger.set_limits(now, servers.iter().filter_map(cold));
         }
         if let Some(reach) = self.reach {
             let reach = coordinator::Input::DiscoveryReach { member: self.config.me, reach };
@@ -306,7 +307,7 @@
 
     /// Does what is due by time.
     fn due(&mut self, now: Millis, outbox: &mut Outbox, out: &mut Vec<Output>) {
-        self.membership.woke(now, outbox);
+        self.membership.run_timers(now, outbox);
         let due = self.wakes.first().is_some_and(|at| *at <= now);
         let later = now.checked_add(1).map(|next| self.wakes.split_off(&next)).unwrap_or_default();
         self.wakes = later;
@@ -330,12 +331,12 @@
         self.put(now, facts);
         self.fill_cold(now, &mut guidance);
         if let Some(note) = self.overload.note() {
-            out.push(Output::Note(note));
+            out.push(Output::Log(note));
         }
         out.push(Output::Guidance(guidance));
-        self.membership.every_period(now, outbox);
+        self.membership.on_period(now, outbox);
         self.facts.every_period(now, self.membership.living(), outbox);
-        self.ledger.every_period(now, self.membership.living(), outbox);
+        self.ledger.on_period(now, self.membership.living(), outbox);
     }
 
     /// What this member may send cold servers until a little after the next period.
@@ -343,15 +344,15 @@
         let span = self.config.timing.period.saturating_mul(3) / 2;
         let Some(servers) = &self.servers else { return };
         let leases = servers.iter().filter_map(cold).filter_map(|bound| {
-            let lease = self.ledger.grant(now, bound.thing, span)?;
-            Some((ServerKey(bound.thing), lease))
+            let lease = self.ledger.grant(now, bound.resource, span)?;
+            Some((ServerKey(bound.resource), lease))
         });
-        guidance.cold = Some(leases.collect());
+        guidance.slow_start = Some(leases.collect());
     }
 
     /// Lets the parts know what the others learnt, until nothing is new.
     fn settle(&mut self, now: Millis, outbox: &mut Outbox, out: &mut Vec<Output>) {
-        for change in self.membership.changes() {
+        for change in self.membership.take_changes() {
             if change.alive {
                 self.facts.alive(change.member, change.incarnation);
             } else {
@@ -370,51 +371,54 @@
         let News { owner, fact, age } = news;
         let (ended, server) = (fact.body.is_empty(), ServerKey(fact.key));
         match fact.kind {
-            FactKind::REACH => {
+            FactKind::REACHABILITY => {
                 if let Ok(reach) = postcard::from_bytes(&fact.body) {
                     let reach = coordinator::Input::DiscoveryReach { member: owner, reach };
                     self.coordinate(now, reach, outbox, out);
                 }
             }
-            FactKind::SERVER => {
+            FactKind::SERVER_STATE => {
                 let standing = postcard::from_bytes(&fact.body).ok();
                 let evidence = coordinator::Input::Evidence { reporter: owner, server, standing };
                 self.coordinate(now, evidence, outbox, out);
             }
-            FactKind::LIST => {
+            FactKind::LIST_VERSION => {
                 let list = coordinator::Input::ListFact { member: owner, body: fact.body };
                 self.coordinate(now, list, outbox, out);
             }
-            FactKind::LOAD | FactKind::LEVEL if ended => {}
-            FactKind::LOAD | FactKind::LEVEL => {
+            FactKind::LOAD | FactKind::SHEDDING_LEVEL if ended => {}
+            FactKind::LOAD | FactKind::SHEDDING_LEVEL => {
                 self.overload.heard(now.saturating_sub(age), owner, &fact);
             }
-            FactKind::REPORT => {
+            FactKind::LOAD_REPORT => {
                 if let Some(report) = overload::report_of(&fact) {
                     self.overload.heard(now.saturating_sub(age), owner, &fact);
-                    out.push(Output::Report { server, report, age });
+                    out.push(Output::LoadReport { server, report, age });
                 }
             }
-            FactKind::TRIAL => {
+            FactKind::EJECTION_PROBE => {
                 let lately = age <= self.config.timing.period.saturating_mul(TRIAL_PERIODS);
                 if let Some(well) = overload::trial_of(&fact).filter(|_| lately) {
                     self.overload.heard(now.saturating_sub(age), owner, &fact);
-                    out.push(Output::Tried { server, well });
+                    out.push(Output::EjectionProbeEnded { server, succeeded: well });
                 }
             }
             // Rules, and kinds of later builds, for whoever reads them.
-            _ => out.push(Output::Heard { owner, fact }),
+            _ => out.push(Output::FactReceived { owner, fact }),
         }
     }
 
     /// Takes in how discovery looks from here.
-    fn reached(&mut self, now: Millis, reach: Reach, outbox: &mut Outbox, out: &mut Vec<Output>) {
+    fn reached(&mut self, now: Millis, reach: Reachability, outbox: &mut Outbox, out: &mut Vec<Output>) {
         if self.reach == Some(reach) {
             return;
         }
         self.reach = Some(reach);
-        let fact =
-            postcard::to_allocvec(&reach).ok().map(|body| Fact { kind: FactKind::REACH, key: 0, body });
+        let fact = postcard::to_allocvec(&reach).ok().map(|body| Fact {
+            kind: FactKind::REACHABILITY,
+            key: 0,
+            body,
+        });
         self.put(now, fact);
         self.coordinate(
             now,
@@ -429,22 +433,22 @@
         &mut self,
         now: Millis,
         server: ServerKey,
-        standing: Standing,
+        standing: ServerState,
         outbox: &mut Outbox,
         out: &mut Vec<Output>,
     ) {
         let before = match standing {
-            Standing::Serving => self.seen.remove(&server),
+            ServerState::Serving => self.seen.remove(&server),
             _ => self.seen.get(&server).copied(),
         };
         // Whoever sees the same at each send does not say it at each.
         let said = before.filter(|seen| {
             seen.standing == standing && now.saturating_sub(seen.said) < self.config.timing.lease
         });
-        if standing != Standing::Serving {
+        if standing != ServerState::Serving {
             self.seen.insert(server, Seen { standing, at: now, said: said.map_or(now, |seen| seen.said) });
         }
-        if said.is_none() && (before.is_some() || standing != Standing::Serving) {
+        if said.is_none() && (before.is_some() || standing != ServerState::Serving) {
             self.evidence(now, server, Some(standing), outbox, out);
         }
     }
@@ -468,13 +472,13 @@
         &mut self,
         now: Millis,
         server: ServerKey,
-        standing: Option<Standing>,
+        standing: Option<ServerState>,
         outbox: &mut Outbox,
         out: &mut Vec<Output>,
     ) {
-        let standing = standing.filter(|standing| *standing != Standing::Serving);
+        let standing = standing.filter(|standing| *standing != ServerState::Serving);
         let body = standing.and_then(|standing| postcard::to_allocvec(&standing).ok()).unwrap_or_default();
-        self.put(now, Some(Fact { kind: FactKind::SERVER, key: server.0, body }));
+        self.put(now, Some(Fact { kind: FactKind::SERVER_STATE, key: server.0, body }));
         let evidence = coordinator::Input::Evidence { reporter: self.config.me, server, standing };
         self.coordinate(now, evidence, outbox, out);
     }
@@ -493,7 +497,7 @@
             match wanted {
                 coordinator::Output::Send { to, message } => {
                     if let Ok(body) = postcard::to_allocvec(&message) {
-                        outbox.push(to, Kind::COORDINATOR, &body);
+                        outbox.push(to, PartKind::COORDINATOR, &body);
                     }
                 }
                 coordinator::Output::WakeAt(at) => {
@@ -503,10 +507,12 @@
                         self.wakes.pop_last();
                     }
                 }
-                coordinator::Output::SetPolling(asking) => out.push(Output::Ask(asking)),
-                coordinator::Output::ServerChanged { entry, why } => out.push(Output::Server { entry, why }),
+                coordinator::Output::SetPolling(asking) => out.push(Output::SetPolling(asking)),
+                coordinator::Output::ServerChanged { entry, why } => {
+                    out.push(Output::ServerChanged { entry, why })
+                }
                 coordinator::Output::Publish(fact) => self.put(now, Some(fact)),
-                coordinator::Output::Log(note) => out.push(Output::Note(note)),
+                coordinator::Output::Log(note) => out.push(Output::Log(note)),
             }
         }
     }
@@ -518,7 +524,7 @@
     }
 
     fn ask_for_timer(&mut self, now: Millis, out: &mut Vec<Output>) {
-        let wakes = [self.membership.wake_at(), self.wakes.first().copied()];
+        let wakes = [self.membership.next_timer(), self.wakes.first().copied()];
         let next = wakes.into_iter().flatten().fold(self.period, Millis::min).max(now.saturating_add(1));
         // One that was asked for and is still to come, no later than this, stays good.
         if self.asked.is_none_or(|asked| asked <= now || next < asked) {
@@ -529,9 +535,9 @@
 }
 
 /// The bound of a server that is cold.
-fn cold(known: &Known) -> Option<Bound> {
+fn cold(known: &KnownServer) -> Option<SharedLimit> {
     known.started?;
     // What is no number is none.
-    let total = known.cold_requests.clamp(0.0, f64::from(u32::MAX)) as u32;
-    Some(Bound { thing: known.server.0, total, window: known.cold_window })
+    let total = known.slow_start_requests.clamp(0.0, f64::from(u32::MAX)) as u32;
+    Some(SharedLimit { resource: known.server.0, total, window: known.slow_start_window })
 }
--- a/crates/peers/src/view.rs
+++ b/crates/peers/src/stats.rs
@@ -4,7 +4,7 @@
 
 /// Figures of a member, for its operators.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct View {
+pub struct Stats {
     /// Members that live, this one included.
     pub living: usize,
     /// Members that are configured.
@@ -16,9 +16,9 @@
     /// The level of shedding, 0 to 1.
     pub level: f64,
     /// Words and renewals of older terms that were refused.
-    pub refused_words: u64,
+    pub stale_rejected: u64,
     /// Facts that were refused: of nobody configured, too many, absurd.
-    pub refused_facts: u64,
+    pub rejected_facts: u64,
     /// Facts that are held.
     pub facts: usize,
     /// Datagrams that were accepted.
@@ -31,5 +31,5 @@
     pub bytes_out: u64,
     /// Datagrams that were dropped, or parts of them: malformed, of another fleet, not from where their sender is
     /// configured, or of a former self of a member.
-    pub refused_datagrams: u64,
+    pub dropped_datagrams: u64,
 }
--- a/crates/peers/tests/fleet/incarnation.rs
+++ b/crates/peers/tests/fleet/incarnation.rs
@@ -1,7 +1,7 @@
 //! Members whose incarnation is lower than what others know of them: a wall clock was stepped back between two starts.
 
 use peers::api::{Input, MemberId};
-use peers::wire::{self, HIGHEST_INCARNATION, Head, Kind, Outbox};
+use peers::wire::{self, DatagramHeader, MAX_INCARNATION, Outbox, PartKind};
 
 use crate::everyone_lives;
 use crate::play::{Fleet, config};
@@ -34,9 +34,14 @@
 
 /// A datagram from a member to another, which says that a later start of that one is known.
 fn claim(from: u16, to: u16, start: u64) -> Vec<u8> {
-    let head = Head::new(wire::digest(&config(5, 0)), MemberId(from), 1_700_000_000_000 + 1_000);
+    let head =
+        DatagramHeader::new(wire::config_digest(&config(5, 0)), MemberId(from), 1_700_000_000_000 + 1_000);
     let mut outbox = Outbox::new(head);
-    outbox.push(MemberId(to), Kind::OUTDATED, &postcard::to_allocvec(&start).expect("it encodes"));
+    outbox.push(
+        MemberId(to),
+        PartKind::STALE_INCARNATION,
+        &postcard::to_allocvec(&start).expect("it encodes"),
+    );
     outbox.drain().next().expect("a datagram").1
 }
 
@@ -47,7 +52,7 @@
     let mut fleet = Fleet::new(5, 22);
     fleet.until(20_000, everyone_lives).expect("all know all");
     let before = incarnation(&fleet, 2);
-    for start in [HIGHEST_INCARNATION, HIGHEST_INCARNATION - 1, 1 << 45] {
+    for start in [MAX_INCARNATION, MAX_INCARNATION - 1, 1 << 45] {
         let from = config(5, 0).members[1].address;
         fleet.tell(2, Input::Datagram { from, bytes: &claim(1, 2, start) });
     }
--- a/crates/peers/tests/fleet/main.rs
+++ b/crates/peers/tests/fleet/main.rs
@@ -5,12 +5,12 @@
 mod play;
 mod together;
 
-use peers::api::{Fact, FactKind, Input, MemberId, Millis, Output, Reach};
-use peers::membership::{Membership, Standing};
+use peers::api::{Fact, FactKind, Input, MemberId, Millis, Output, Reachability};
+use peers::membership::{MemberState, Membership};
 use play::{Fleet, config};
 
 fn rare(key: u64, body: &[u8]) -> Input<'static> {
-    Input::Publish(Fact { kind: FactKind::RULES, key, body: body.to_vec() })
+    Input::Publish(Fact { kind: FactKind::RESIDENCY_RULES, key, body: body.to_vec() })
 }
 
 fn everyone_lives(fleet: &Fleet) -> bool {
@@ -51,7 +51,7 @@
         fleet.loss = loss;
         fleet.until(20_000, everyone_lives).expect("all know all");
         fleet.stop(7);
-        let gone = |p: &peers::Peer| p.membership().standing(MemberId(7)) == Standing::Gone;
+        let gone = |p: &peers::Peer| p.membership().state(MemberId(7)) == MemberState::Gone;
         let took = fleet.until(20_000, |fleet| fleet.peers.iter().flatten().all(gone)).expect("all notice");
         println!("gone for all: {took} ms of {most}");
         assert!(took >= timing.suspect && took <= most, "{took} ms of {most}");
@@ -66,7 +66,9 @@
     fleet.run(3_000);
     let held = |fleet: &Fleet| {
         let now = fleet.now;
-        let get = |p: &peers::Peer| p.facts().get(now, MemberId(3), FactKind::RULES, 1).map(|f| f.0.to_vec());
+        let get = |p: &peers::Peer| {
+            p.facts().get(now, MemberId(3), FactKind::RESIDENCY_RULES, 1).map(|f| f.0.to_vec())
+        };
         fleet.peers.iter().flatten().map(get).collect::<Vec<_>>()
     };
     assert!(held(&fleet).iter().all(|body| body.as_deref() == Some(b"former")));
@@ -87,7 +89,7 @@
     }
     fleet.run(1_000);
     assert!(held(&fleet).iter().all(Option::is_none), "{:?}", held(&fleet));
-    assert!(fleet.peers[5].as_ref().is_some_and(|p| p.view().refused_datagrams > 0));
+    assert!(fleet.peers[5].as_ref().is_some_and(|p| p.stats().dropped_datagrams > 0));
     assert!(everyone_lives(&fleet));
 }
 
@@ -102,7 +104,7 @@
     let all =
         |fleet: &Fleet| everyone_lives(fleet) && fleet.peers[2].as_ref().map(|p| p.incarnation()) > former;
     assert!(fleet.until(10_000, all).is_some());
-    assert!(fleet.outputs[2].iter().any(|o| matches!(o, Output::Note(note) if note.contains("clock"))));
+    assert!(fleet.outputs[2].iter().any(|o| matches!(o, Output::Log(note) if note.contains("clock"))));
 }
 
 #[test]
@@ -113,7 +115,7 @@
     fleet.tell(11, rare(5, b"rule"));
     let reached = |fleet: &Fleet| {
         let now = fleet.now;
-        let has = |p: &peers::Peer| p.facts().get(now, MemberId(11), FactKind::RULES, 5).is_some();
+        let has = |p: &peers::Peer| p.facts().get(now, MemberId(11), FactKind::RESIDENCY_RULES, 5).is_some();
         fleet.peers.iter().flatten().filter(|p| has(p)).count()
     };
     let took = fleet.until(20_000, |fleet| reached(fleet) == 50).expect("all hear it");
@@ -140,7 +142,7 @@
     }
     fleet.run(10_000);
     let held = |fleet: &Fleet, member: usize| {
-        fleet.peers[member].as_ref().map(|p| p.facts().of(fleet.now, FactKind::RULES).count())
+        fleet.peers[member].as_ref().map(|p| p.facts().of(fleet.now, FactKind::RESIDENCY_RULES).count())
     };
     let complete = |member: usize| move |fleet: &Fleet| held(fleet, member) == Some(200);
     assert!((0..20).all(|member| held(&fleet, member) == Some(if member == 4 { 10 } else { 190 })));
@@ -163,11 +165,11 @@
 fn discovery_as_others_see_it_arrives() {
     let mut fleet = Fleet::new(3, 8);
     fleet.until(20_000, everyone_lives).expect("all know all");
-    fleet.tell(0, Input::Discovery(Reach::Down));
+    fleet.tell(0, Input::Discovery(Reachability::Down));
     fleet.run(1_000);
-    let down = postcard::to_allocvec(&Reach::Down).expect("it encodes");
+    let down = postcard::to_allocvec(&Reachability::Down).expect("it encodes");
     let get = |m: usize| {
-        fleet.peers[m].as_ref().and_then(|p| p.facts().get(fleet.now, MemberId(0), FactKind::REACH, 0))
+        fleet.peers[m].as_ref().and_then(|p| p.facts().get(fleet.now, MemberId(0), FactKind::REACHABILITY, 0))
     };
     assert!(get(1).is_some_and(|(body, _)| body == down) && get(2).is_some_and(|(body, _)| body == down));
 }
@@ -177,7 +179,7 @@
     let mut fleet = Fleet::new(count, 9);
     for member in 0..count {
         fleet.tell(member, rare(1, &[1; 60]));
-        fleet.tell(member, Input::Discovery(Reach::Up));
+        fleet.tell(member, Input::Discovery(Reachability::Up));
     }
     let load = |fleet: &mut Fleet, spans: Millis| {
         for n in 0..spans {
@@ -190,7 +192,7 @@
     };
     load(&mut fleet, 75);
     let sent = |fleet: &Fleet| {
-        let views = fleet.peers.iter().flatten().map(|p| p.view());
+        let views = fleet.peers.iter().flatten().map(|p| p.stats());
         views.fold((0, 0), |sum, view| (sum.0 + view.datagrams_out, sum.1 + view.bytes_out))
     };
     let before = sent(&fleet);
@@ -213,11 +215,11 @@
     fleet.until(20_000, everyone_lives).expect("all know all");
     fleet.pause(6, 10_000);
     fleet.run(10_000);
-    assert!((0..10).all(|m| m == 6 || fleet.peers[m].as_ref().is_some_and(|p| p.view().living == 9)));
-    let least = |fleet: &Fleet| fleet.peers.iter().flatten().map(|p| p.view().living).min();
+    assert!((0..10).all(|m| m == 6 || fleet.peers[m].as_ref().is_some_and(|p| p.stats().living == 9)));
+    let least = |fleet: &Fleet| fleet.peers.iter().flatten().map(|p| p.stats().living).min();
     let mut lowest = 10;
     let took = fleet.until(5_000, |fleet| {
-        lowest = lowest.min(fleet.peers[6].as_ref().map_or(0, |p| p.view().living));
+        lowest = lowest.min(fleet.peers[6].as_ref().map_or(0, |p| p.stats().living));
         least(fleet) == Some(10)
     });
     assert!(took.is_some() && lowest >= 8, "{took:?}, {lowest} at the lowest");
--- a/crates/peers/tests/fleet/play.rs
+++ b/crates/peers/tests/fleet/play.rs
@@ -5,7 +5,7 @@
 
 use peers::Peer;
 use peers::api::{
-    Budgets, Config, DATAGRAM_BYTES, Guidance, Input, Member, MemberId, Millis, Output, RegionId, Timing,
+    Budgets, Config, Guidance, Input, MAX_DATAGRAM_BYTES, Member, MemberId, Millis, Output, RegionId, Timing,
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -27,7 +27,7 @@
         regions: vec!["west".into()],
         classes: Vec::new(),
         class_floor: 0.05,
-        budgets: Budgets { retries: 0.1, copies: 0.1 },
+        budgets: Budgets { retries: 0.1, hedges: 0.1 },
         timing: Timing::default(),
     }
 }
@@ -120,7 +120,7 @@
             match output {
                 Output::WakeAt(at) => self.push(at, Event::Wake(member)),
                 Output::Send { to, bytes } => {
-                    assert!(bytes.len() <= DATAGRAM_BYTES, "{} bytes", bytes.len());
+                    assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{} bytes", bytes.len());
                     self.sent[member].push(bytes.clone());
                     let to = usize::from(to.port() - 10_000);
                     for _ in 0..1 + usize::from(self.rng.random_bool(0.02)) {
--- a/crates/peers/tests/model.rs
+++ b/crates/peers/tests/model.rs
@@ -11,7 +11,9 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 
-use peers::api::{Budgets, Config, Entry, Member, MemberId, Reach, RegionId, ServerKey, Standing, Timing};
+use peers::api::{
+    Budgets, Config, Member, MemberId, Reachability, RegionId, ServerEntry, ServerKey, ServerState, Timing,
+};
 use peers::coordinator::{Coordinator, Input, Message, Output, Role, Term};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
@@ -127,19 +129,19 @@
         regions: vec!["r".to_owned()],
         classes: Vec::new(),
         class_floor: 0.0,
-        budgets: Budgets { retries: 0.1, copies: 0.1 },
+        budgets: Budgets { retries: 0.1, hedges: 0.1 },
         timing: Timing { lease: LEASE, drift, outage: OUTAGE, election: 5, ..Timing::default() },
     })
 }
 
-fn list() -> Vec<Entry> {
-    let entry = |port: u16| Entry {
+fn list() -> Vec<ServerEntry> {
+    let entry = |port: u16| ServerEntry {
         host: format!("s{port}"),
         dial: SocketAddr::from((Ipv4Addr::LOCALHOST, port)),
         zone: "z".to_owned(),
         kind: "k".to_owned(),
         cell: 0,
-        standing: Standing::Serving,
+        state: ServerState::Serving,
         weight: 1.0,
         started_ms: 0.0,
     };
@@ -161,11 +163,11 @@
             if self.with_servers {
                 inputs.push(Input::ListUpdate { version: 1, complete: true, entries: list() });
                 for reporter in [0, 1].map(MemberId) {
-                    let standing = Some(Standing::Draining);
+                    let standing = Some(ServerState::Draining);
                     inputs.push(Input::Evidence { reporter, server: ServerKey::of("s1"), standing });
                 }
             }
-            let down = |member| Input::DiscoveryReach { member: MemberId(member), reach: Reach::Down };
+            let down = |member| Input::DiscoveryReach { member: MemberId(member), reach: Reachability::Down };
             inputs.extend((0..self.members).map(down));
         }
         // The member has received a message from the first run of every other member.
@@ -335,7 +337,7 @@
             }
             Action::DiscoveryBack(id) => {
                 state.discovery_back = true;
-                let input = Input::DiscoveryReach { member: MemberId(id), reach: Reach::Up };
+                let input = Input::DiscoveryReach { member: MemberId(id), reach: Reachability::Up };
                 self.step(&mut state, id, input, true);
             }
         }
--- a/crates/peers/tests/sum_of_leases.rs
+++ b/crates/peers/tests/sum_of_leases.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 
 use peers::api::{Budgets, Config, Member, MemberId, Millis, RegionId, Timing};
-use peers::leases::{Bound, Ledger};
-use peers::wire::{self, Head, Kind, Outbox};
+use peers::leases::{LeaseTable, SharedLimit};
+use peers::wire::{self, DatagramHeader, Outbox, PartKind};
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -26,14 +26,14 @@
         regions: vec!["west".into()],
         classes: Vec::new(),
         class_floor: 0.05,
-        budgets: Budgets { retries: 0.1, copies: 0.1 },
+        budgets: Budgets { retries: 0.1, hedges: 0.1 },
         timing: Timing::default(),
     }
 }
 
 /// A process with its clock: real time t is `at + rate * t` here.
 struct Process {
-    ledger: Ledger,
+    ledger: LeaseTable,
     incarnation: u64,
     at: f64,
     rate: f64,
@@ -81,14 +81,14 @@
 fn play(weather: &Weather, rate: f64) -> Given {
     let mut rng = Pcg64Mcg::seed_from_u64(weather.seed);
     let count = weather.members;
-    let bound = Bound { thing: THING, total: weather.total, window: weather.window };
+    let bound = SharedLimit { resource: THING, total: weather.total, window: weather.window };
     let everyone: Vec<MemberId> = (0..count).map(|m| MemberId(m as u16)).collect();
-    let digest = wire::digest(&config(count, 0));
+    let digest = wire::config_digest(&config(count, 0));
     let start = |member: usize, real: f64, incarnation: u64, rng: &mut Pcg64Mcg| {
         let rate = [1.0 - rate, 1.0, 1.0 + rate][rng.random_range(0..3)];
         let at = rng.random_range(5_000.0..90_000.0) - rate * real;
         let now = (at + rate * real) as Millis;
-        let ledger = Ledger::new(&config(count, member), now, incarnation, rng.random());
+        let ledger = LeaseTable::new(&config(count, member), now, incarnation, rng.random());
         Process { ledger, incarnation, at, rate, next: real + rng.random_range(0.0..200.0) }
     };
     let mut processes: Vec<Process> = (0..count).map(|m| start(m, 0.0, 1, &mut rng)).collect();
@@ -104,24 +104,24 @@
             }
             let process = &mut processes[member];
             let now = (process.at + process.rate * real) as Millis;
-            let head = Head::new(digest, MemberId(member as u16), process.incarnation);
+            let head = DatagramHeader::new(digest, MemberId(member as u16), process.incarnation);
             let mut out = Outbox::new(head);
             if real >= process.next {
                 process.next = real + 200.0 / process.rate;
-                process.ledger.bounds(now, [bound]);
+                process.ledger.set_limits(now, [bound]);
                 if let Some(lease) = process.ledger.grant(now, THING, 300) {
                     let until = (lease.until as f64 - process.at) / process.rate;
                     given.push((real, until, lease.requests));
                 }
-                process.ledger.every_period(now, &everyone, &mut out);
+                process.ledger.on_period(now, &everyone, &mut out);
             }
             let due = on_the_way[member].split_off(&(step + 1, 0));
             for (from, bytes) in std::mem::replace(&mut on_the_way[member], due).into_values() {
-                let (head, parts) = wire::read(&bytes, digest).expect("it is whole");
+                let (head, parts) = wire::decode(&bytes, digest).expect("it is whole");
                 for (kind, part) in parts {
-                    assert_eq!(kind, Kind::LEASE);
+                    assert_eq!(kind, PartKind::LEASE);
                     let from = MemberId(from as u16);
-                    assert!(process.ledger.heard(now, from, head.incarnation, part, &mut out));
+                    assert!(process.ledger.handle_message(now, from, head.incarnation, part, &mut out));
                 }
             }
             for (to, bytes) in out.drain() {
@@ -161,9 +161,9 @@
 
     #[test]
     fn rights_add_up_and_only_grow_with_the_bound(count in 1_usize..40, total in 0_u32..200, thing in any::<u64>()) {
-        let ledger = Ledger::new(&config(count, 0), 0, 1, 1);
+        let ledger = LeaseTable::new(&config(count, 0), 0, 1, 1);
         let ledger = &ledger;
-        let rights = |total| (0..count).map(move |m| ledger.right(thing, total, MemberId(m as u16)));
+        let rights = |total| (0..count).map(move |m| ledger.quota(thing, total, MemberId(m as u16)));
         prop_assert_eq!(rights(total).sum::<u32>(), total);
         prop_assert!(rights(total).zip(rights(total + 1)).all(|(less, more)| less <= more));
     }
@@ -205,20 +205,20 @@
 #[test]
 fn a_loan_to_a_former_process_is_not_taken_for_an_answer_to_this_one() {
     // Given a lender that has all of a thing by right, and a borrower whose ask it answers.
-    let digest = wire::digest(&config(2, 0));
+    let digest = wire::config_digest(&config(2, 0));
     let everyone = [MemberId(0), MemberId(1)];
-    let split = Ledger::new(&config(2, 0), 0, 1, 1);
-    let thing = (0..).find(|thing| split.right(*thing, 1, MemberId(0)) == 1).expect("a thing");
-    let bound = Bound { thing, total: 1, window: 1_000 };
+    let split = LeaseTable::new(&config(2, 0), 0, 1, 1);
+    let thing = (0..).find(|thing| split.quota(*thing, 1, MemberId(0)) == 1).expect("a thing");
+    let bound = SharedLimit { resource: thing, total: 1, window: 1_000 };
     let process = |member, now, incarnation| {
-        let mut ledger = Ledger::new(&config(2, member), now, incarnation, 1);
-        ledger.bounds(now, [bound]);
+        let mut ledger = LeaseTable::new(&config(2, member), now, incarnation, 1);
+        ledger.set_limits(now, [bound]);
         ledger
     };
     let parts = |mut out: Outbox| -> Vec<Vec<u8>> {
         let datagrams = out.drain().map(|(_, bytes)| bytes);
         let of = |bytes: Vec<u8>| {
-            wire::read(&bytes, digest)
+            wire::decode(&bytes, digest)
                 .expect("whole")
                 .1
                 .iter()
@@ -227,24 +227,26 @@
         };
         datagrams.flat_map(of).collect()
     };
-    let ask = |ledger: &mut Ledger, now, incarnation| {
-        let mut out = Outbox::new(Head::new(digest, MemberId(1), incarnation));
-        ledger.every_period(now, &everyone, &mut out);
+    let ask = |ledger: &mut LeaseTable, now, incarnation| {
+        let mut out = Outbox::new(DatagramHeader::new(digest, MemberId(1), incarnation));
+        ledger.on_period(now, &everyone, &mut out);
         parts(out)
     };
     let (now, former, later) = (100_000, 1_700_000_000_000, 1_700_000_000_500);
     let mut lender = process(0, 0, 1);
     let asks = ask(&mut process(1, now, former), now, former);
-    let mut out = Outbox::new(Head::new(digest, MemberId(0), 1));
-    asks.iter().for_each(|part| assert!(lender.heard(now, MemberId(1), former, part, &mut out)));
+    let mut out = Outbox::new(DatagramHeader::new(digest, MemberId(0), 1));
+    asks.iter().for_each(|part| assert!(lender.handle_message(now, MemberId(1), former, part, &mut out)));
     let loans = parts(out);
     assert!(!loans.is_empty(), "it lends");
     // When the borrower has restarted and asked anew before the answer comes, then that gives it nothing.
     for incarnation in [later, former + 1] {
         let mut borrower = process(1, now + 500, incarnation);
         ask(&mut borrower, now + 500, incarnation);
-        let mut out = Outbox::new(Head::new(digest, MemberId(1), incarnation));
-        loans.iter().for_each(|part| assert!(borrower.heard(now + 501, MemberId(0), 1, part, &mut out)));
+        let mut out = Outbox::new(DatagramHeader::new(digest, MemberId(1), incarnation));
+        loans
+            .iter()
+            .for_each(|part| assert!(borrower.handle_message(now + 501, MemberId(0), 1, part, &mut out)));
         let lease = borrower.grant(now + 502, thing, 300).expect("it is shared");
         assert_eq!(lease.requests, 0, "as {incarnation}");
     }
--- a/crates/world/src/company.rs
+++ b/crates/world/src/company.rs
@@ -4,7 +4,10 @@
 
 use concert::{ClassNames, Company, Input, Output, Setup};
 use listclock::Pace;
-use peers::api::{Asking, Budgets, ClassWorth, Config, Entry, MemberId, Reach, RegionId, Standing, Timing};
+use peers::api::{
+    Budgets, ClassPriority, Config, MemberId, PollingRate, Reachability, RegionId, ServerEntry, ServerState,
+    Timing,
+};
 use peers::coordinator::Role;
 use sagemast::api::*;
 
@@ -49,9 +52,13 @@
         me: MemberId(me as u16),
         members: (0..spec.members).map(member).collect(),
         regions: spec.regions.iter().map(|region| region.name.clone()).collect(),
-        classes: spec.classes.iter().map(|c| ClassWorth { worth: c.class.worth, by_work: false }).collect(),
+        classes: spec
+            .classes
+            .iter()
+            .map(|c| ClassPriority { priority_weight: c.class.worth, per_work_unit: false })
+            .collect(),
         class_floor: spec.class_floor,
-        budgets: Budgets { retries: spec.retries, copies: 0.0 },
+        budgets: Budgets { retries: spec.retries, hedges: 0.0 },
         timing: Timing::default(),
     }
 }
@@ -125,9 +132,9 @@
             }
             Output::Ask(asking) => {
                 let pace = match asking {
-                    Asking::Usual => Pace::Usual,
-                    Asking::Often => Pace::Often,
-                    Asking::Seldom => Pace::Seldom,
+                    PollingRate::Normal => Pace::Usual,
+                    PollingRate::Frequent => Pace::Often,
+                    PollingRate::Infrequent => Pace::Seldom,
                 };
                 let this = &mut self.members[member];
                 this.list_clock.ask(this.clock.at(self.now), pace);
@@ -154,7 +161,7 @@
     }
 
     /// How discovery looks from a sidecar.
-    pub(crate) fn reach(&mut self, member: usize, reach: Reach) {
+    pub(crate) fn reach(&mut self, member: usize, reach: Reachability) {
         if self.members[member].reach.replace(reach) != Some(reach) {
             self.company(member, Input::Reach(reach));
         }
@@ -177,15 +184,15 @@
         }
     }
 
-    fn entry(&self, server: usize, listed: &Listed) -> (UpstreamId, Entry) {
+    fn entry(&self, server: usize, listed: &Listed) -> (UpstreamId, ServerEntry) {
         let this = &self.servers[server];
-        let entry = Entry {
+        let entry = ServerEntry {
             host: this.name.clone(),
             dial: SocketAddr::from(([10, 1, (server >> 8) as u8, server as u8], 80)),
             zone: self.zones[listed.zone].0.clone(),
             kind: "std".to_owned(),
             cell: this.cell,
-            standing: listed.standing,
+            state: listed.standing,
             weight: this.cores as f64,
             started_ms: if listed.started > 0 { UNIX + listed.started as f64 / 1e3 } else { 0.0 },
         };
@@ -193,7 +200,7 @@
     }
 
     /// What a peer says of a server is applied like a changed list.
-    fn entry_came(&mut self, member: usize, entry: Entry) {
+    fn entry_came(&mut self, member: usize, entry: ServerEntry) {
         let found = self.servers.iter().position(|server| server.name == entry.host);
         let Some(server) = found.filter(|server| self.checks.lists.is_named(*server)) else {
             let text = || format!("sidecar {member} heard of {}, which no list named", entry.host);
@@ -202,7 +209,7 @@
         let started = if entry.started_ms > 0.0 { micros(entry.started_ms - UNIX) } else { 0 };
         let zone = self.zone(&entry.zone).unwrap_or(self.servers[server].zone);
         let version = self.members[member].version;
-        let listed = Listed { standing: entry.standing, zone, started, version };
+        let listed = Listed { standing: entry.state, zone, started, version };
         self.company(member, Input::Applied(vec![(UpstreamId(server as u64), entry)]));
         let listings = self.take_in(member, &[(server, listed)]);
         self.module(member, Event::Listed(ListNews::Changed(listings)));
@@ -230,13 +237,13 @@
     }
 
     /// What the fleet's members tell of themselves, by sidecar.
-    pub fn views(&self) -> Vec<Option<peers::View>> {
+    pub fn views(&self) -> Vec<Option<peers::Stats>> {
         let view = |member: &crate::member::Member| member.company.as_ref().and_then(|c| c.view().peers);
         self.members.iter().map(view).collect()
     }
 
     /// Whether a sidecar holds that a server takes new work.
     pub fn holds_serving(&self, member: usize, server: usize) -> bool {
-        self.members[member].list.get(&server).is_some_and(|entry| entry.standing == Standing::Serving)
+        self.members[member].list.get(&server).is_some_and(|entry| entry.standing == ServerState::Serving)
     }
 }
--- a/crates/world/src/discovery.rs
+++ b/crates/world/src/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery: versions of the list, who watches it, and how many calls it takes.
 
-use peers::api::Standing;
+use peers::api::ServerState;
 
 use crate::time::Micros;
 
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Listed {
     /// What is said of it.
-    pub standing: Standing,
+    pub standing: ServerState,
     /// The number of the zone that is told for it.
     pub zone: usize,
     /// When it was started, in true time; 0 for long ago.
--- a/crates/world/src/faults.rs
+++ b/crates/world/src/faults.rs
@@ -1,6 +1,6 @@
 //! What can go wrong, and be put right again.
 
-use peers::api::Standing;
+use peers::api::ServerState;
 
 use crate::discovery::Way;
 use crate::links::Fate;
@@ -54,7 +54,7 @@
     /// A server's process starts, cold; discovery says so at once.
     StartServer(usize),
     /// Discovery says how a server stands.
-    List(usize, Standing),
+    List(usize, ServerState),
     /// A server's name is that of another in this zone from now on: it starts there, cold.
     Move(usize, usize),
     /// A sidecar's operators' file has these rules of residency from now on, and its process rereads it.
@@ -94,7 +94,7 @@
             Fault::Errors(server, share) => self.servers[server].errors = share,
             Fault::Drain(server) => {
                 self.act(Fault::DrainUnsaid(server));
-                self.act(Fault::List(server, Standing::Draining));
+                self.act(Fault::List(server, ServerState::Draining));
             }
             Fault::DrainUnsaid(server) => {
                 self.servers[server].life = crate::server::Life::Draining;
@@ -105,14 +105,14 @@
                 self.servers[server].start(self.now);
                 let (now, zone) = (self.now, self.servers[server].zone);
                 self.relist(server, |entry| {
-                    (entry.standing, entry.started, entry.zone) = (Standing::Serving, now, zone);
+                    (entry.standing, entry.started, entry.zone) = (ServerState::Serving, now, zone);
                 });
             }
             Fault::List(server, standing) => {
                 let started = self.servers[server].started.unwrap_or(0);
                 // What was noticed of a former life says nothing of this one.
                 let up = self.servers[server].life == crate::server::Life::Up;
-                if standing != Standing::Gone || !up {
+                if standing != ServerState::Gone || !up {
                     self.relist(server, |entry| (entry.standing, entry.started) = (standing, started));
                 }
             }
@@ -148,6 +148,6 @@
         for key in self.servers[server].crash(self.now) {
             self.answers(key, sagemast::api::Outcome::Reset, None);
         }
-        self.at(self.now + micros(NOTICED), Fault::List(server, Standing::Gone));
+        self.at(self.now + micros(NOTICED), Fault::List(server, ServerState::Gone));
     }
 }
--- a/crates/world/src/member.rs
+++ b/crates/world/src/member.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use concert::Company;
-use peers::api::Reach;
+use peers::api::Reachability;
 use sagemast::Balancer;
 use sagemast::api::*;
 
@@ -121,7 +121,7 @@
     /// When the timer set last for that rings.
     pub ringing: Option<Micros>,
     /// How discovery looks from here, as was told last.
-    pub reach: Option<Reach>,
+    pub reach: Option<Reachability>,
     /// Whether discovery has its watch.
     pub watches: bool,
 }
--- a/crates/world/src/roster.rs
+++ b/crates/world/src/roster.rs
@@ -1,7 +1,7 @@
 //! The lists that sidecars get from discovery, by the clock that real ones follow.
 
 use listclock::{Clock, Command, ListEvent, Rules, Start};
-use peers::api::{Reach, Standing};
+use peers::api::{Reachability, ServerState};
 use sagemast::api::*;
 
 use crate::discovery::{Listed, Way};
@@ -57,7 +57,7 @@
             },
             Some(Command::GiveUp) => {
                 this.watches = false;
-                self.reach(member, Reach::Down);
+                self.reach(member, Reachability::Down);
             }
             None => {}
         }
@@ -114,7 +114,7 @@
         this.list_clock.observe(at, heard);
         self.set_list_timer(member);
         if opening {
-            self.reach(member, Reach::Up);
+            self.reach(member, Reachability::Up);
         }
         if heard == ListEvent::List {
             self.listed(member, opening, &list);
@@ -133,7 +133,7 @@
         self.set_list_timer(member);
         // When a watch breaks the next call shows whether discovery is there.
         if calling {
-            self.reach(member, Reach::Down);
+            self.reach(member, Reachability::Down);
         }
     }
 
@@ -141,7 +141,7 @@
     pub(crate) fn take_in(&mut self, member: usize, list: &[(usize, Listed)]) -> Vec<Listing> {
         let mut listings = Vec::new();
         for (number, entry) in list {
-            let serving = entry.standing == Standing::Serving;
+            let serving = entry.standing == ServerState::Serving;
             self.checks.lists.told(self.now, member, *number, serving);
             let this = &mut self.members[member];
             this.list.insert(*number, entry.clone());
