--- a/crates/world/src/scenarios.rs
+++ b/crates/world/src/scenarios.rs
@@ -1,6 +1,6 @@
 //! Partial failures to be met alone and together: what happens, over which time it is judged, and what came of it.
 
-use peers::api::Standing;
+use peers::api::ServerState;
 use serde::Serialize;
 
 use crate::discovery::Way;
@@ -182,7 +182,7 @@
         world.at(end(), Fault::Discovery(member, Way::Open));
     }
     world.at(micros(BEGIN + 4_000.0), Fault::DrainUnsaid(0));
-    world.at(micros(BEGIN + 4_000.0), Fault::List(0, Standing::Draining));
+    world.at(micros(BEGIN + 4_000.0), Fault::List(0, ServerState::Draining));
     world.at(micros(BEGIN + 5_000.0), Fault::CrashServer(1));
 }
 
--- a/crates/world/src/world.rs
+++ b/crates/world/src/world.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use peers::api::Standing;
+use peers::api::ServerState;
 use sagemast::Balancer;
 use sagemast::api::*;
 
@@ -122,7 +122,7 @@
             }
         }
         let entry = |server: &Server| Listed {
-            standing: Standing::Serving,
+            standing: ServerState::Serving,
             zone: server.zone,
             started: 0,
             version: 1,
--- a/crates/world/tests/story/then.rs
+++ b/crates/world/tests/story/then.rs
@@ -1,7 +1,7 @@
 //! What is to hold then.
 
 use cucumber::then;
-use peers::api::Standing;
+use peers::api::ServerState;
 use world::World;
 use world::time::{Micros, micros, millis};
 
@@ -202,9 +202,9 @@
 fn holds(story: &mut Story, seconds: f64, who: String, server: String, how: String) {
     let (members, server) = (story.sidecars(&who), story.server(&server));
     let standing = match how.as_str() {
-        "serves" => Standing::Serving,
-        "drains" => Standing::Draining,
-        _ => Standing::Gone,
+        "serves" => ServerState::Serving,
+        "drains" => ServerState::Draining,
+        _ => ServerState::Gone,
     };
     let holds = |world: &World, member: usize| {
         world.members[member].list.get(&server).is_some_and(|entry| entry.standing == standing)
--- a/crates/world/tests/story/when.rs
+++ b/crates/world/tests/story/when.rs
@@ -1,7 +1,7 @@
 //! What happens.
 
 use cucumber::{given, when};
-use peers::api::Standing;
+use peers::api::ServerState;
 use world::Fault;
 use world::discovery::Way;
 use world::links::Fate;
@@ -42,9 +42,9 @@
 fn says(story: &mut Story, server: String, how: String) {
     let server = story.server(&server);
     let standing = match how.as_str() {
-        "serves" => Standing::Serving,
-        "drains" => Standing::Draining,
-        _ => Standing::Gone,
+        "serves" => ServerState::Serving,
+        "drains" => ServerState::Draining,
+        _ => ServerState::Gone,
     };
     story.act(Fault::List(server, standing));
 }
