--- a/crates/peers/src/api.rs
+++ b/crates/peers/src/api.rs
@@ -1,4 +1,4 @@
-//! What goes into a member and what comes out of it.
+//! The inputs and outputs of a member, its configuration, and the types that they share.
 
 use std::collections::BTreeMap;
 use std::hash::Hasher;
@@ -6,26 +6,27 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds on the member's own clock, which only moves forward. Clocks of two members have nothing to do with
-/// each other but their speed, which differs by [`Timing::drift`] at most.
+/// Milliseconds on the member's own monotonic clock. The clocks of two members have no common origin, but
+/// their speeds differ by at most [`Timing::drift`].
 pub type Millis = u64;
 
-/// A configured member: its place in the list of members, in the order of their names. The same at every member
-/// that has the same list.
+/// A configured member, as its index in the list of members, which is sorted by name. Members with the same
+/// list use the same ids.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId(pub u16);
 
-/// A region: its place in [`Config::regions`].
+/// A region, as its index in [`Config::regions`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RegionId(pub u16);
 
-/// A server by its name, the same at every member: names are long and datagrams small. 64 bits of FNV-1a; among
-/// 10,000 servers two share a key once in 10^11.
+/// The hash of a server's name, which is the same at every member. Datagrams carry it instead of the name,
+/// because names are long and datagrams are small. The hash is 64-bit FNV-1a: among 10,000 servers, the
+/// probability that any two share a key is about 1 in 10^11.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ServerKey(pub u64);
 
 impl ServerKey {
-    /// The key of a server's name.
+    /// Returns the key for a server's name.
     pub fn of(name: &str) -> ServerKey {
         let mut hasher = fnv::FnvHasher::default();
         hasher.write(name.as_bytes());
@@ -36,68 +37,74 @@
 /// A member as the operators configure it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// Its name, unlike all others.
+    /// The unique name of the member.
     pub name: String,
-    /// Where its datagrams come from and go to, as seen from here: not the same at every member where links stand
-    /// between them, and so no part of what the members' lists are compared by.
+    /// The address that this process sends the member's datagrams to and receives them from. Other members
+    /// may use another address for the same member, for example behind address translation. For this reason,
+    /// addresses are left out of the digest that members compare their configurations by.
     pub address: SocketAddr,
-    /// Its region.
+    /// The region of the member.
     pub region: RegionId,
-    /// The name of its zone.
+    /// The name of the member's zone.
     pub zone: String,
 }
 
-/// What a member is told at its start.
+/// The configuration that a member starts with.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
-    /// Which of the members this one is.
+    /// The id of this member.
     pub me: MemberId,
-    /// All configured members, in the order of their names, this one included. At most 1,024 are usual, 65,535 work.
+    /// All configured members, sorted by name and including this one. Up to 1,024 are usual; up to 65,535
+    /// work.
     pub members: Vec<Member>,
     /// The names of the regions.
     pub regions: Vec<String>,
-    /// What a request of each class earns, by its place in the settings; for the order in which classes are shed.
+    /// The priority weight of each class, in the order of the settings. It determines the order in which
+    /// classes are shed.
     pub classes: Vec<ClassPriority>,
-    /// The share of a class that is let in however much is shed, so that none is shut out.
+    /// The fraction of each class's requests that is admitted at any shedding level, so that no class is shut
+    /// out.
     pub class_floor: f64,
-    /// The further sends that the fleet may make, as shares of its first tries.
+    /// Limits on the cluster's retries and hedged requests, as fractions of its first attempts.
     pub budgets: Budgets,
-    /// Times.
+    /// Intervals and timeouts of the protocol.
     pub timing: Timing,
 }
 
-/// What a class's requests are worth.
+/// The priority weight of a class.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ClassPriority {
-    /// Worth of a request, or of a unit of work where the platform counts so.
+    /// The weight of one request, or of one unit of work if the platform weights work.
     pub priority_weight: f64,
-    /// Whether it is a unit of work that the worth is for.
+    /// Whether the weight applies to a unit of work instead of a request.
     pub per_work_unit: bool,
 }
 
-/// Shares of the fleet's first tries.
+/// Limits on the cluster's additional sends, as fractions of its first attempts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Budgets {
-    /// Retries.
+    /// The limit on retries.
     pub retries: f64,
-    /// Second copies.
+    /// The limit on hedged requests.
     pub hedges: f64,
 }
 
-/// Times of the protocol, all in milliseconds.
+/// Intervals and timeouts of the protocol, in milliseconds.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Timing {
-    /// How often a member tells some others of its facts and checks one of them.
+    /// The gossip interval: once per period, a member sends facts to a few others. It probes one other member
+    /// in every second period.
     pub period: Millis,
-    /// How long a member that does not answer is suspected before it counts as gone.
+    /// How long a member that does not answer is suspected before it is considered gone.
     pub suspect: Millis,
     /// How long a lease lasts by the clock of its holder.
     pub lease: Millis,
-    /// By what share two clocks may differ in speed.
+    /// The fraction by which the speeds of two clocks may differ.
     pub drift: f64,
-    /// Discovery must have been out of reach for this long before members elect.
+    /// How long discovery must be unreachable before members elect a coordinator.
     pub outage: Millis,
-    /// A call for votes comes between this and twice this long after the need for one is seen.
+    /// The minimum election timeout: a member calls for votes between one and two times this long after it
+    /// sees that a coordinator is needed.
     pub election: Millis,
 }
 
@@ -107,301 +114,309 @@
     }
 }
 
-/// A small record that spreads to all members: who said it is told beside it, the newest of its owner, kind and key
-/// wins, and it expires unless its owner says it again.
+/// A small record that spreads to all members by gossip. Its owner travels beside it. For each owner, kind
+/// and key, the newest fact wins. A fact expires unless its owner publishes it again.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fact {
-    /// What sort it is; sorts that a build does not know are passed on unread.
+    /// The kind of the fact. A build forwards kinds that it does not know without decoding them.
     pub kind: FactKind,
-    /// What it is about: a class, a server, a service.
+    /// What the fact is about, such as a class, a server or a service.
     pub key: u64,
-    /// [`MAX_FACT_BYTES`] at most, encoded by `postcard` from the type that its kind stands for.
+    /// The value of the type that belongs to the kind, encoded by `postcard`. At most [`MAX_FACT_BYTES`]
+    /// long.
     pub body: Vec<u8>,
 }
 
-/// The sort of a fact.
+/// The kind of a fact, which determines the meaning of its key and the type of its body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FactKind(pub u8);
 
 impl FactKind {
-    /// How a member sees discovery: key 0.
+    /// Whether the owner can reach discovery. The key is 0.
     pub const REACHABILITY: FactKind = FactKind(1);
-    /// Load by class at a member: key is the number of the piece, where classes need more than one.
+    /// The owner's load by class. The key is the number of the chunk, as the classes may need several facts.
     pub const LOAD: FactKind = FactKind(2);
-    /// What a member saw or was told of a server: key is the server's.
+    /// A server's state as the owner observed it. The key is the server's.
     pub const SERVER_STATE: FactKind = FactKind(3);
-    /// A server's report of its load, by a member whose duty it is to ask: key is the server's.
+    /// A server's load report, published by the member that is assigned to poll the server. The key is the
+    /// server's.
     pub const LOAD_REPORT: FactKind = FactKind(4);
-    /// The level of shedding at a member: key 0.
+    /// The shedding level at the owner. The key is 0.
     pub const SHEDDING_LEVEL: FactKind = FactKind(5);
-    /// Rules of residency: the generation and what a service may use. Encoded by the package `residency`.
+    /// Residency rules: their generation and what a service may use. The package `residency` encodes them.
     pub const RESIDENCY_RULES: FactKind = FactKind(6);
-    /// The newest version of discovery's list that a member holds: key 0.
+    /// The newest version of discovery's server list that the owner holds. The key is 0.
     pub const LIST_VERSION: FactKind = FactKind(7);
-    /// How a trial of an ejected server ended: key is the server's.
+    /// The result of the owner's probe of an ejected server. The key is the server's.
     pub const EJECTION_PROBE: FactKind = FactKind(8);
 }
 
-/// The longest body of a fact, so that a datagram holds one with its stamp and head.
+/// The maximum length of a fact's body. A datagram can hold one such fact with its stamp and the datagram
+/// header.
 pub const MAX_FACT_BYTES: usize = 160;
 
-/// The longest datagram, the platform's bound for messages between peers.
+/// The maximum length of a datagram, which the platform sets for messages between peers.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
 
-/// How a member sees discovery.
+/// Whether a member can reach discovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Reachability {
-    /// It answers, or its watch is alive.
+    /// Discovery answers, or the watch on it is alive.
     Up,
-    /// It does not.
+    /// Discovery does not answer, and the watch on it is not alive.
     Down,
 }
 
-/// What a list says of a server.
+/// The lifecycle state of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ServerState {
-    /// It takes new work.
+    /// The server takes new requests.
     Serving,
-    /// It finishes what it has.
+    /// The server finishes the requests that it has, but takes no new ones.
     Draining,
-    /// It is no more.
+    /// The server no longer exists.
     Gone,
 }
 
-/// A server as a list names it.
+/// A server as a server list describes it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServerEntry {
-    /// Its name.
+    /// The name of the server.
     pub host: String,
-    /// Where it listens.
+    /// The address that the server listens on.
     pub dial: SocketAddr,
-    /// The name of its zone.
+    /// The name of the server's zone.
     pub zone: String,
-    /// The name of its kind of machine.
+    /// The name of the server's kind of machine.
     pub kind: String,
-    /// Its cell.
+    /// The number of the server's cell.
     pub cell: u64,
-    /// What the list says of it.
+    /// The state of the server according to the list.
     pub state: ServerState,
-    /// Its size compared with others.
+    /// The size of the server relative to the others.
     pub weight: f64,
-    /// When it last started, in Unix milliseconds; 0 for long ago.
+    /// The time at which the server last started, in Unix milliseconds. 0 means long ago.
     pub started_ms: f64,
 }
 
-/// What a member did since it was last asked, by class.
+/// What a member did for one class since it last reported its counts.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct ClassCounts {
-    /// First tries that came in.
+    /// Requests that arrived and were not marked as retries by the client.
     pub first_attempts: u32,
-    /// Tries that clients marked as repeats.
+    /// Requests that arrived and were marked as retries by the client.
     pub client_retries: u32,
     /// Requests served.
     pub served: u32,
-    /// Requests refused.
+    /// Requests rejected.
     pub rejected: u32,
-    /// Requests that failed or were too late.
+    /// Requests that failed or were answered too late.
     pub failed: u32,
-    /// Second and later sends.
+    /// Attempts after the first for the same request.
     pub retries: u32,
-    /// Second copies.
+    /// Hedged requests sent.
     pub hedges: u32,
-    /// Requests held without their answer.
+    /// Requests that are in flight, without an answer yet.
     pub in_flight: u32,
-    /// Milliseconds that a mean server works on one, as the module knows it; 0 where nothing is known.
+    /// How long an average server works on one request, in milliseconds, as the module estimates it. 0 means
+    /// unknown.
     pub service_ms: f64,
 }
 
 /// A server's report of its load.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests it holds.
+    /// The number of requests in flight at the server.
     pub in_flight: Option<f32>,
-    /// How busy its cores are, 0 to 1.
+    /// The utilisation of the server's cores, from 0 to 1.
     pub utilisation: Option<f32>,
-    /// Requests served a second.
+    /// Requests served per second.
     pub served_per_s: Option<f32>,
 }
 
-/// A server that the module may be given duties or leases for.
+/// A server that the module may use. The cluster may assign duties and slow-start leases for it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct KnownServer {
-    /// Which one.
+    /// The key of the server.
     pub server: ServerKey,
-    /// When it was started, on this member's clock, where that is less than the time of warming up ago: it is cold.
+    /// When the server started, on this member's clock, while the server is still warming up; otherwise
+    /// `None`.
     pub started: Option<Millis>,
-    /// How many requests all members together may send it in each window while it is cold.
+    /// How many requests all members together may send the server per window while it is warming up.
     pub slow_start_requests: f64,
-    /// The window, in milliseconds.
+    /// The length of that window, in milliseconds.
     pub slow_start_window: Millis,
-    /// Whether this member has it ejected for failures.
+    /// Whether this member has ejected the server for failures.
     pub ejected: bool,
 }
 
-/// Something that happened at a member's process.
+/// An event at a member's process, handed to the member.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Input<'a> {
-    /// A datagram came.
+    /// A datagram arrived.
     Datagram {
-        /// Where from.
+        /// The source address.
         from: SocketAddr,
-        /// What it holds: anything at all.
+        /// The contents, which may be anything.
         bytes: &'a [u8],
     },
-    /// A timer that was asked for with [`Output::WakeAt`] is due.
+    /// A timer that was requested with [`Output::WakeAt`] is due.
     Woke,
-    /// How discovery looks from here, whenever that changes.
+    /// Discovery became reachable or unreachable from this process.
     Discovery(Reachability),
-    /// Discovery told a list, or what changed in it.
+    /// Discovery sent a server list or changes to it.
     ListUpdate {
-        /// Its version.
+        /// The version of the list.
         version: u64,
-        /// Whether who is missing is gone.
+        /// Whether the list is complete, so that servers missing from it are gone.
         complete: bool,
-        /// Its entries.
+        /// The entries.
         entries: Vec<ServerEntry>,
     },
-    /// The module's sends told that a server drains (it turned requests away as draining) or is gone (it refuses
-    /// connections), whatever the list says.
+    /// The module observed the state of a server while sending to it, whatever the server list says: the
+    /// server rejected requests because it is draining, refused connections because it is gone, or served.
     ServerObserved {
         /// The server.
         server: ServerKey,
-        /// [`ServerState::Draining`] or [`Standing::Gone`].
+        /// The observed state. [`ServerState::Serving`] takes back an earlier observation.
         state: ServerState,
     },
-    /// What was done since the last time, by class; once a [`Timing::period`].
+    /// The counts by class since the last such input. Expected once per [`Timing::period`].
     Counts(Vec<ClassCounts>),
-    /// All servers that the module may use, once a period.
+    /// All servers that the module may use. Expected once per period.
     Servers(Vec<KnownServer>),
-    /// A server told its load to this member.
+    /// A server reported its load to this member.
     LoadReported {
         /// The server.
         server: ServerKey,
-        /// Its report.
+        /// The report.
         report: LoadReport,
     },
-    /// A trial of an ejected server ended well or not.
+    /// A probe of an ejected server ended.
     EjectionProbeEnded {
         /// The server.
         server: ServerKey,
-        /// Whether it answered.
+        /// Whether the server answered.
         succeeded: bool,
     },
-    /// A fact of this member's own to spread, such as a rule of residency; it replaces the one of the same kind and key
-    /// and is said again until the member ends. One with an empty body takes it back.
+    /// A fact of this member to spread, such as a residency rule. It replaces the member's fact of the same
+    /// kind and key, and the member keeps publishing it while it runs. An empty body withdraws the fact.
     Publish(Fact),
 }
 
-/// How a member's process should ask discovery.
+/// How often a member's process should poll discovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum PollingRate {
-    /// As a sidecar by itself does.
+    /// As often as a sidecar without peers does.
     Normal,
-    /// Often, for all others of the region: it is the coordinator's duty.
+    /// Often, because the coordinator polls on behalf of its whole region.
     Frequent,
-    /// Seldom: another asks for it.
+    /// Rarely, because another member polls for this one.
     Infrequent,
 }
 
-/// What a member's process should do.
+/// An action that a member's process should carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
     /// Send a datagram.
     Send {
-        /// Where to.
+        /// The destination address.
         to: SocketAddr,
-        /// Up to [`MAX_DATAGRAM_BYTES`].
+        /// At most [`MAX_DATAGRAM_BYTES`] bytes.
         bytes: Vec<u8>,
     },
-    /// Hand back [`Input::Woke`] at this time or soon after; an earlier one stays good.
+    /// Provide [`Input::Woke`] at this time or soon after. Earlier requests remain valid.
     WakeAt(Millis),
-    /// How to ask discovery from now on.
+    /// Poll discovery at this rate from now on.
     SetPolling(PollingRate),
-    /// A server that a list named stands differently than this member was told: a drain or an end that a peer was told
-    /// of, a newer entry, or a withdrawal by the coordinator. Counts as told.
+    /// The state of a listed server differs from what discovery told this member: a peer's list says that the
+    /// server is draining or gone, a peer has a newer entry, or the coordinator withdrew the server. The
+    /// process treats this like a notification from discovery.
     ServerChanged {
-        /// The entry, with where it now stands.
+        /// The entry, with the server's current state.
         entry: ServerEntry,
-        /// Who says so.
+        /// Where the change comes from.
         why: ChangeReason,
     },
-    /// What the fleet agreed on, for the module.
+    /// Cluster guidance for the module.
     Guidance(Guidance),
-    /// A server told a peer its load, so many milliseconds ago by this member's clock.
+    /// A server reported its load to a peer.
     LoadReport {
         /// The server.
         server: ServerKey,
-        /// Its report.
+        /// The report.
         report: LoadReport,
-        /// How old it is.
+        /// The age of the report, by this member's clock.
         age: Millis,
     },
-    /// Another member's trial of an ejected server ended.
+    /// Another member's probe of an ejected server ended.
     EjectionProbeEnded {
         /// The server.
         server: ServerKey,
-        /// Whether it answered.
+        /// Whether the server answered.
         succeeded: bool,
     },
-    /// A fact of a kind that others read, such as [`FactKind::RESIDENCY_RULES`], is new or changed, or was withdrawn or expired (an
-    /// empty body).
+    /// A fact that this crate does not interpret, such as [`FactKind::RESIDENCY_RULES`], is new or changed.
+    /// An empty body means that it was withdrawn or has expired.
     FactReceived {
-        /// Whose.
+        /// The member that published the fact.
         owner: MemberId,
         /// The fact.
         fact: Fact,
     },
-    /// A line for the operators: rare by itself.
+    /// A log line for the operators. The events behind these lines are rare, so they need no rate limit.
     Log(String),
 }
 
-/// Why a server stands differently.
+/// Why the state of a server changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChangeReason {
     /// A member has a newer list from discovery.
     NewerList,
-    /// The coordinator withdrew it, by the evidence of more than one member.
+    /// The coordinator withdrew the server, on evidence from more than one member.
     Withdrawn,
-    /// The coordinator gave back what it had withdrawn itself.
+    /// The coordinator restored a server that it had withdrawn.
     Restored,
 }
 
-/// What the fleet agreed on. What is absent leaves the module to itself.
+/// Cluster guidance for the module. Where a field is absent or empty, the module decides on its own.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Guidance {
-    /// By class, the chance that an arrival may be sent at all, 0 to 1; empty: all may.
+    /// The admission probability of each class, from 0 to 1. If empty, every request is admitted.
     pub admit: Vec<f64>,
-    /// The level that this comes from, 0 to 1, for the operators.
+    /// The shedding level behind the admission probabilities, from 0 to 1, for the operators.
     pub level: f64,
-    /// Retries and second copies that this member may make: a share of its own first tries, and so many saved up.
+    /// The retries that this member may send.
     pub retries: Option<Allowance>,
-    /// The same for second copies.
+    /// The hedged requests that this member may send.
     pub hedges: Option<Allowance>,
-    /// Servers whose load this member asks for; absent: as it sees fit.
+    /// The servers that this member polls for their load.
     pub load_polls: Option<Vec<ServerKey>>,
-    /// Ejected servers that this member tries; absent: as it sees fit.
+    /// The ejected servers that this member probes.
     pub ejection_probes: Option<Vec<ServerKey>>,
-    /// Requests that this member may send to cold servers within their present windows; absent: by chance.
+    /// How many requests this member may send to each server that is warming up, within its current window.
+    /// If absent, the module decides at random.
     pub slow_start: Option<BTreeMap<ServerKey, SlowStartLease>>,
-    /// Where in the span that refused clients are asked to stay away theirs lie, so that those whom all members
-    /// refused do not come back in step: from and to, as shares of the span.
+    /// The part of the Retry-After interval that this member draws from for the clients it rejects, as start
+    /// and end fractions of the interval. Members use different parts, so that clients that all members
+    /// reject do not retry at the same time.
     pub retry_after_range: Option<[f64; 2]>,
 }
 
-/// Further sends.
+/// A budget of additional sends: a fraction of the member's own first attempts, and a saved-up burst.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Allowance {
-    /// As a share of first tries.
+    /// The fraction of this member's first attempts.
     pub share: f64,
-    /// So many saved up.
+    /// The maximum number of unused sends that can accumulate.
     pub burst: u32,
 }
 
-/// What one member may send a cold server.
+/// What this member may send to a server that is warming up.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SlowStartLease {
-    /// So many requests of mean work.
+    /// The number of requests, each of average work.
     pub requests: u32,
-    /// Until then, by this member's clock.
+    /// The end of the lease, by this member's clock.
     pub until: Millis,
 }
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,13 +1,15 @@
-//! What the processes of one fleet tell each other while parts of it fail, and what each makes of it.
+//! The protocol between the sidecars ("members") of one cluster. It keeps working while parts of the cluster
+//! fail.
 //!
-//! A [`Peer`] is one member. It has no sockets, no clock and no randomness of its own: datagrams, times and what its
-//! process sees go in as [`Input`], and datagrams, timers and what its process should do come out as [`Output`]. The
-//! same inputs give the same outputs, so that a thousand members can be played in one thread, with every datagram
-//! lost, held back or doubled at will.
+//! A [`Peer`] is one member. It has no sockets, no clock and no random source of its own. Datagrams, the
+//! current time and the observations of its process go in as [`Input`]. Datagrams, timer requests and
+//! instructions for its process come out as [`Output`]. The same inputs always give the same outputs, so a
+//! test can run a thousand members in one thread and lose, delay or duplicate any datagram.
 //!
-//! What it is for: membership, small facts that spread, leases, a coordinator where discovery is out of reach, and
-//! overload met by all alike. What it refuses: it carries no content of requests (no body, key or id), it talks to
-//! configured members only, and it never adds a server that no list named.
+//! The protocol provides membership, gossip of small facts, leases, a coordinator for a region that cannot
+//! reach discovery, and load shedding that is the same at all members. It has three limits: it carries
+//! nothing from requests (no body, key or id), it talks to configured members only, and it never adds a
+//! server that no server list named.
 
 pub mod api;
 mod config;
