--- a/crates/peers/src/peer.rs
+++ b/crates/peers/src/peer.rs
@@ -1,5 +1,5 @@
-//! One member: what comes in is handed to its parts, what they tell each other goes through here, and what they want is
-//! sent.
+//! One member of the cluster. [`Peer`] dispatches inputs to the components (membership, facts, leases,
+//! coordinator and overload control), passes changes between them, and collects their outputs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -21,16 +21,16 @@
 use crate::stats::Stats;
 use crate::wire::{self, DatagramHeader, MAX_INCARNATION, Outbox, PartKind};
 
-/// What this member saw of a server is taken back when it was not seen again for so many leases.
-const SEEN_LEASES: u64 = 10;
+/// An observation of a server's state is withdrawn if it was not repeated for this many lease durations.
+const OBSERVATION_LEASES: u64 = 10;
 
-/// A trial that another member told of counts for so many periods.
-const TRIAL_PERIODS: u64 = 25;
+/// The maximum age, in periods, at which the result of another member's ejection probe is still used.
+const PROBE_RESULT_PERIODS: u64 = 25;
 
-/// How many former selves of members are told in a period that they are.
-const OUTDATED_TOLD: u8 = 4;
+/// How many times per period this member answers a datagram of an outdated incarnation with the newest one.
+const STALE_NOTICES_PER_PERIOD: u8 = 4;
 
-/// One member of the fleet.
+/// One member of the cluster.
 #[derive(Debug)]
 pub struct Peer {
     config: Arc<Config>,
@@ -39,126 +39,131 @@
     rng: Pcg64Mcg,
     membership: Membership,
     facts: Facts,
-    ledger: LeaseTable,
+    leases: LeaseTable,
     coordinator: Coordinator,
     overload: Overload,
-    /// How discovery looks from here, as was told last.
-    reach: Option<Reachability>,
-    /// The servers that were told last, if any were.
+    /// Whether this process can reach discovery, as last reported. `None` before the first report.
+    reachability: Option<Reachability>,
+    /// The servers of the last [`Input::Servers`]. `None` before the first one.
     servers: Option<Vec<KnownServer>>,
-    /// What this member saw of servers.
-    seen: BTreeMap<ServerKey, Seen>,
-    /// When the next period begins, when the coordinator wants to be woken, and the wake that was asked for last.
-    period: Millis,
-    wakes: BTreeSet<Millis>,
-    asked: Option<Millis>,
-    /// How many former selves may still be told so in this period, and when this one was.
-    outdated: u8,
-    renewed: Option<Millis>,
-    /// What others claim to know of later starts of this one.
+    /// The server states that this member observed itself, other than serving.
+    observed: BTreeMap<ServerKey, Observation>,
+    /// When the next period begins.
+    next_period: Millis,
+    /// When the coordinator asked to be woken.
+    coordinator_wakes: BTreeSet<Millis>,
+    /// The time of the last [`Output::WakeAt`].
+    requested_wake: Option<Millis>,
+    /// How many stale-incarnation notices this member may still send in this period.
+    stale_notices_left: u8,
+    /// When this member last raised its own incarnation.
+    renewed_at: Option<Millis>,
+    /// Other members' claims that this member has run with a higher incarnation.
     incarnation_claims: IncarnationClaims,
     datagrams_in: u64,
     datagrams_out: u64,
     bytes_in: u64,
     bytes_out: u64,
-    refused_datagrams: u64,
+    dropped_datagrams: u64,
 }
 
-/// What a member saw of a server, when last, and when it said so last.
+/// A server state that this member observed, when it last observed it, and when it last published it.
 #[derive(Debug, Clone, Copy)]
-struct Seen {
-    standing: ServerState,
-    at: Millis,
-    said: Millis,
+struct Observation {
+    state: ServerState,
+    observed_at: Millis,
+    published_at: Millis,
 }
 
 impl Peer {
-    /// A member whose process started now. The incarnation is higher than that of any former process of this member,
-    /// such as the Unix time of the start in milliseconds.
+    /// Creates a member whose process started now. The incarnation must be higher than that of every earlier
+    /// process of this member, for example the Unix time of the start in milliseconds.
     pub fn new(config: Config, now: Millis, incarnation: u64, seed: u64) -> Result<Peer, ConfigError> {
         check(&config)?;
         if incarnation > MAX_INCARNATION {
-            return Err(ConfigError(format!("an incarnation of {incarnation} is above {MAX_INCARNATION}")));
+            return Err(ConfigError(format!(
+                "incarnation {incarnation} exceeds the maximum of {MAX_INCARNATION}"
+            )));
         }
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let config = Arc::new(config);
-        let first = rng.random_range(0..config.timing.period);
+        let first_period = rng.random_range(0..config.timing.period);
         Ok(Peer {
             digest: wire::config_digest(&config),
             incarnation,
             membership: Membership::new(&config, incarnation, rng.random()),
             facts: Facts::new(&config, now, incarnation, rng.random()),
-            ledger: LeaseTable::new(&config, now, incarnation, rng.random()),
+            leases: LeaseTable::new(&config, now, incarnation, rng.random()),
             coordinator: Coordinator::new(Arc::clone(&config), now, incarnation, rng.random()),
             overload: Overload::new(Arc::clone(&config), now),
-            reach: None,
+            reachability: None,
             servers: None,
-            seen: BTreeMap::new(),
-            // Members that start together do not speak in step.
-            period: now.saturating_add(first),
-            wakes: BTreeSet::new(),
-            asked: None,
-            outdated: OUTDATED_TOLD,
-            renewed: None,
+            observed: BTreeMap::new(),
+            // A random first period keeps members that start together from sending at the same times.
+            next_period: now.saturating_add(first_period),
+            coordinator_wakes: BTreeSet::new(),
+            requested_wake: None,
+            stale_notices_left: STALE_NOTICES_PER_PERIOD,
+            renewed_at: None,
             incarnation_claims: IncarnationClaims::new(incarnation, config.members.len().saturating_sub(1)),
             datagrams_in: 0,
             datagrams_out: 0,
             bytes_in: 0,
             bytes_out: 0,
-            refused_datagrams: 0,
+            dropped_datagrams: 0,
             config,
             rng,
         })
     }
 
-    /// Takes in what happened at `now`, and appends what should be done. The first call, whatever it is for, asks for
-    /// the first timer.
-    pub fn handle(&mut self, now: Millis, input: Input, out: &mut Vec<Output>) {
+    /// Handles an event that happened at `now` and appends the resulting actions to `outputs`. The first
+    /// call, with any input, requests the first timer.
+    pub fn handle(&mut self, now: Millis, input: Input, outputs: &mut Vec<Output>) {
         let mut outbox = Outbox::new(DatagramHeader::new(self.digest, self.config.me, self.incarnation));
         match input {
-            Input::Datagram { from, bytes } => self.datagram(now, from, bytes, &mut outbox, out),
+            Input::Datagram { from, bytes } => self.handle_datagram(now, from, bytes, &mut outbox, outputs),
             Input::Woke => {}
-            Input::Discovery(reach) => self.reached(now, reach, &mut outbox, out),
+            Input::Discovery(reachability) => self.set_reachability(now, reachability, &mut outbox, outputs),
             Input::ListUpdate { version, complete: whole, entries } => {
-                self.reached(now, Reachability::Up, &mut outbox, out);
-                let listed = coordinator::Input::ListUpdate { version, complete: whole, entries };
-                self.coordinate(now, listed, &mut outbox, out);
+                self.set_reachability(now, Reachability::Up, &mut outbox, outputs);
+                let update = coordinator::Input::ListUpdate { version, complete: whole, entries };
+                self.run_coordinator(now, update, &mut outbox, outputs);
             }
-            Input::ServerObserved { server, state: standing } => {
-                self.saw(now, server, standing, &mut outbox, out)
+            Input::ServerObserved { server, state } => {
+                self.observe_server(now, server, state, &mut outbox, outputs)
             }
             Input::Counts(counts) => {
                 let facts = self.overload.counted(now, &counts);
-                self.put(now, facts);
+                self.publish(now, facts);
             }
             Input::Servers(servers) => {
                 self.overload.servers(now, &servers);
-                self.ledger.set_limits(now, servers.iter().filter_map(cold));
+                self.leases.set_limits(now, servers.iter().filter_map(slow_start_limit));
                 self.servers = Some(servers);
             }
             Input::LoadReported { server, report } => {
                 let fact = self.overload.reported(now, server, report);
-                self.put(now, fact);
+                self.publish(now, fact);
             }
-            Input::EjectionProbeEnded { server, succeeded: well } => {
-                let fact = self.overload.tried(now, server, well);
-                self.put(now, fact);
+            Input::EjectionProbeEnded { server, succeeded } => {
+                let fact = self.overload.tried(now, server, succeeded);
+                self.publish(now, fact);
             }
-            Input::Publish(fact) => self.put(now, Some(fact)),
+            Input::Publish(fact) => self.publish(now, Some(fact)),
         }
-        self.due(now, &mut outbox, out);
-        self.settle(now, &mut outbox, out);
+        self.run_due(now, &mut outbox, outputs);
+        self.apply_changes(now, &mut outbox, outputs);
         for (to, bytes) in outbox.drain() {
             if let Some(member) = self.config.members.get(usize::from(to.0)) {
                 self.datagrams_out += 1;
                 self.bytes_out += bytes.len() as u64;
-                out.push(Output::Send { to: member.address, bytes });
+                outputs.push(Output::Send { to: member.address, bytes });
             }
         }
-        self.ask_for_timer(now, out);
+        self.request_timer(now, outputs);
     }
 
-    /// Its figures.
+    /// Returns counters and the current state, for monitoring.
     pub fn stats(&self) -> Stats {
         Stats {
             living: self.membership.living().len(),
@@ -173,47 +178,51 @@
             datagrams_out: self.datagrams_out,
             bytes_in: self.bytes_in,
             bytes_out: self.bytes_out,
-            dropped_datagrams: self.refused_datagrams,
+            dropped_datagrams: self.dropped_datagrams,
         }
     }
 
-    /// Who lives, as this member sees it.
+    /// Returns this member's view of which members are alive.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// What all members said, as far as this one heard it.
+    /// Returns the facts of all members, as far as this one has received them.
     pub fn facts(&self) -> &Facts {
         &self.facts
     }
 
-    /// The incarnation that this member goes by now.
+    /// Returns this member's current incarnation.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    fn datagram(
+    /// Checks a datagram's header and sender, and handles its parts. A datagram of an outdated incarnation is
+    /// dropped and answered with the newest incarnation that is known.
+    fn handle_datagram(
         &mut self,
         now: Millis,
         from: std::net::SocketAddr,
         bytes: &[u8],
         outbox: &mut Outbox,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
         let Ok((head, parts)) = wire::decode(bytes, self.digest) else {
-            self.refused_datagrams += 1;
+            self.dropped_datagrams += 1;
             return;
         };
         let configured = self.config.members.get(usize::from(head.sender.0));
         if head.sender == self.config.me || configured.is_none_or(|member| member.address != from) {
-            self.refused_datagrams += 1;
+            self.dropped_datagrams += 1;
             return;
         }
         let newest = self.membership.incarnation(head.sender).unwrap_or(0);
         if head.incarnation < newest {
-            self.refused_datagrams += 1;
-            if let (Some(left), Ok(body)) = (self.outdated.checked_sub(1), postcard::to_allocvec(&newest)) {
-                self.outdated = left;
+            self.dropped_datagrams += 1;
+            if let (Some(left), Ok(body)) =
+                (self.stale_notices_left.checked_sub(1), postcard::to_allocvec(&newest))
+            {
+                self.stale_notices_left = left;
                 outbox.push(head.sender, PartKind::STALE_INCARNATION, &body);
             }
             return;
@@ -221,21 +230,21 @@
         self.datagrams_in += 1;
         self.bytes_in += bytes.len() as u64;
         for (kind, part) in parts {
-            if !self.part(now, &head, kind, part, outbox, out) {
-                self.refused_datagrams += 1;
+            if !self.handle_part(now, &head, kind, part, outbox, outputs) {
+                self.dropped_datagrams += 1;
             }
         }
     }
 
-    /// Hands a part of a datagram on. False: it is malformed.
-    fn part(
+    /// Passes a part of a datagram to the component that it is for. Returns false if the part is malformed.
+    fn handle_part(
         &mut self,
         now: Millis,
         head: &DatagramHeader,
         kind: PartKind,
         part: &[u8],
         outbox: &mut Outbox,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) -> bool {
         let (from, incarnation) = (head.sender, head.incarnation);
         match kind {
@@ -245,299 +254,326 @@
             PartKind::MEMBER_STATES => self.membership.handle_states(now, part, outbox),
             PartKind::FACTS => self.facts.heard(now, part),
             PartKind::FACT_SYNC => self.facts.compared(now, from, part, outbox),
-            PartKind::LEASE => self.ledger.handle_message(now, from, incarnation, part, outbox),
+            PartKind::LEASE => self.leases.handle_message(now, from, incarnation, part, outbox),
             PartKind::COORDINATOR => {
                 let Ok(message) = postcard::from_bytes(part) else { return false };
                 let message = coordinator::Input::Message { from, incarnation, message };
-                self.coordinate(now, message, outbox, out);
+                self.run_coordinator(now, message, outbox, outputs);
                 true
             }
             PartKind::STALE_INCARNATION => match postcard::from_bytes::<u64>(part) {
                 Ok(newest) => {
-                    self.outdated(now, from, newest, outbox, out);
+                    self.handle_stale_incarnation(now, from, newest, outbox, outputs);
                     true
                 }
                 Err(_) => false,
             },
-            // Of a later build.
+            // A part kind of a newer build.
             _ => true,
         }
     }
 
-    /// Another knows a later start of this member: its clock was set back between two starts. It goes on as a process
-    /// that started after that one, and with what such a one knows. Nothing for a datagram of its former self that came
-    /// late, when it is this very process that is known.
-    fn outdated(
+    /// Handles a notice that another member knows a higher incarnation of this member, because this member's
+    /// wall clock was set back between two starts. This member then continues as a newly started process with
+    /// an even higher incarnation, and keeps only what such a process would know. The notice has no effect if
+    /// the incarnation that the other member knows is this process's own, as it is when the notice answers a
+    /// late datagram of an earlier process.
+    fn handle_stale_incarnation(
         &mut self,
         now: Millis,
-        by: MemberId,
-        start: u64,
+        claimant: MemberId,
+        claimed: u64,
         outbox: &mut Outbox,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
-        let Some(newest) = self.incarnation_claims.claimed(by, start, self.incarnation) else { return };
-        if self.renewed.is_some_and(|at| now.saturating_sub(at) < self.config.timing.lease) {
+        let Some(newest) = self.incarnation_claims.claimed(claimant, claimed, self.incarnation) else {
+            return;
+        };
+        if self.renewed_at.is_some_and(|at| now.saturating_sub(at) < self.config.timing.lease) {
             return;
         }
-        out.push(Output::Log(format!(
-            "others know a start of this member at {newest}, and it started at {}: was its clock set back? \
-             It goes on as {}",
+        outputs.push(Output::Log(format!(
+            "other members know incarnation {newest} of this member, higher than its own {}; its clock may have \
+             been set back. It continues as incarnation {}",
             self.incarnation,
             newest + 1
         )));
-        self.renewed = Some(now);
+        self.renewed_at = Some(now);
         self.incarnation = newest + 1;
         let own = self.facts.own();
         self.membership = Membership::new(&self.config, self.incarnation, self.rng.random());
         self.facts = Facts::new(&self.config, now, self.incarnation, self.rng.random());
-        self.ledger = LeaseTable::new(&self.config, now, self.incarnation, self.rng.random());
+        self.leases = LeaseTable::new(&self.config, now, self.incarnation, self.rng.random());
         let seed = self.rng.random();
         self.coordinator = Coordinator::new(Arc::clone(&self.config), now, self.incarnation, seed);
         *outbox = Outbox::new(DatagramHeader::new(self.digest, self.config.me, self.incarnation));
-        // The list it gets from others, as one that starts does.
-        self.put(now, own.into_iter().filter(|fact| fact.kind != FactKind::LIST_VERSION));
+        // The list version is not published again: like a starting process, this one gets the list from other
+        // members.
+        self.publish(now, own.into_iter().filter(|fact| fact.kind != FactKind::LIST_VERSION));
         if let Some(servers) = &self.servers {
-            self.ledger.set_limits(now, servers.iter().filter_map(cold));
+            self.leases.set_limits(now, servers.iter().filter_map(slow_start_limit));
         }
-        if let Some(reach) = self.reach {
-            let reach = coordinator::Input::DiscoveryReach { member: self.config.me, reach };
-            self.coordinate(now, reach, outbox, out);
+        if let Some(reach) = self.reachability {
+            let input = coordinator::Input::DiscoveryReach { member: self.config.me, reach };
+            self.run_coordinator(now, input, outbox, outputs);
         }
     }
 
-    /// Does what is due by time.
-    fn due(&mut self, now: Millis, outbox: &mut Outbox, out: &mut Vec<Output>) {
+    /// Runs the timers that are due and, at the end of a period, the periodic work.
+    fn run_due(&mut self, now: Millis, outbox: &mut Outbox, outputs: &mut Vec<Output>) {
         self.membership.run_timers(now, outbox);
-        let due = self.wakes.first().is_some_and(|at| *at <= now);
-        let later = now.checked_add(1).map(|next| self.wakes.split_off(&next)).unwrap_or_default();
-        self.wakes = later;
-        let period = now >= self.period;
-        if due || period {
-            self.coordinate(now, coordinator::Input::Woke, outbox, out);
+        let coordinator_due = self.coordinator_wakes.first().is_some_and(|at| *at <= now);
+        let later =
+            now.checked_add(1).map(|next| self.coordinator_wakes.split_off(&next)).unwrap_or_default();
+        self.coordinator_wakes = later;
+        let period_due = now >= self.next_period;
+        if coordinator_due || period_due {
+            self.run_coordinator(now, coordinator::Input::Woke, outbox, outputs);
         }
-        if period {
-            // A process that was stopped does not make up for the periods that it missed.
-            self.period = now.saturating_add(self.config.timing.period);
-            self.every_period(now, outbox, out);
+        if period_due {
+            // A process that was suspended does not make up for the periods that it missed.
+            self.next_period = now.saturating_add(self.config.timing.period);
+            self.on_period(now, outbox, outputs);
         }
     }
 
-    /// Once a period: what is new is told, and the module gets what the fleet makes of it all.
-    fn every_period(&mut self, now: Millis, outbox: &mut Outbox, out: &mut Vec<Output>) {
-        self.outdated = OUTDATED_TOLD;
-        self.forget_seen(now, outbox, out);
-        self.settle(now, outbox, out);
+    /// Does the periodic work: publishes changes, gives the module its guidance, and sends gossip.
+    fn on_period(&mut self, now: Millis, outbox: &mut Outbox, outputs: &mut Vec<Output>) {
+        self.stale_notices_left = STALE_NOTICES_PER_PERIOD;
+        self.expire_observations(now, outbox, outputs);
+        self.apply_changes(now, outbox, outputs);
         let (mut guidance, facts) = self.overload.decide(now, self.config.me, self.membership.living());
-        self.put(now, facts);
-        self.fill_cold(now, &mut guidance);
+        self.publish(now, facts);
+        self.grant_slow_start(now, &mut guidance);
         if let Some(note) = self.overload.note() {
-            out.push(Output::Log(note));
+            outputs.push(Output::Log(note));
         }
-        out.push(Output::Guidance(guidance));
+        outputs.push(Output::Guidance(guidance));
         self.membership.on_period(now, outbox);
         self.facts.every_period(now, self.membership.living(), outbox);
-        self.ledger.on_period(now, self.membership.living(), outbox);
+        self.leases.on_period(now, self.membership.living(), outbox);
     }
 
-    /// What this member may send cold servers until a little after the next period.
-    fn fill_cold(&mut self, now: Millis, guidance: &mut Guidance) {
+    /// Adds to the guidance what this member may send to servers that are warming up. The leases last one and
+    /// a half periods, so that they reach beyond the next period.
+    fn grant_slow_start(&mut self, now: Millis, guidance: &mut Guidance) {
         let span = self.config.timing.period.saturating_mul(3) / 2;
         let Some(servers) = &self.servers else { return };
-        let leases = servers.iter().filter_map(cold).filter_map(|bound| {
-            let lease = self.ledger.grant(now, bound.resource, span)?;
-            Some((ServerKey(bound.resource), lease))
+        let leases = servers.iter().filter_map(slow_start_limit).filter_map(|limit| {
+            let lease = self.leases.grant(now, limit.resource, span)?;
+            Some((ServerKey(limit.resource), lease))
         });
         guidance.slow_start = Some(leases.collect());
     }
 
-    /// Lets the parts know what the others learnt, until nothing is new.
-    fn settle(&mut self, now: Millis, outbox: &mut Outbox, out: &mut Vec<Output>) {
+    /// Passes changes of membership and new facts to the components that depend on them.
+    fn apply_changes(&mut self, now: Millis, outbox: &mut Outbox, outputs: &mut Vec<Output>) {
         for change in self.membership.take_changes() {
             if change.alive {
                 self.facts.alive(change.member, change.incarnation);
             } else {
                 self.facts.gone(change.member);
             }
-            let alive = coordinator::Input::Liveness { member: change.member, alive: change.alive };
-            self.coordinate(now, alive, outbox, out);
+            let liveness = coordinator::Input::Liveness { member: change.member, alive: change.alive };
+            self.run_coordinator(now, liveness, outbox, outputs);
         }
         for news in self.facts.news() {
-            self.fact_heard(now, news, outbox, out);
+            self.handle_fact(now, news, outbox, outputs);
         }
     }
 
-    /// Hands on what another member said, or that it says so no more.
-    fn fact_heard(&mut self, now: Millis, news: News, outbox: &mut Outbox, out: &mut Vec<Output>) {
+    /// Passes on a fact of another member. An empty body means that the fact was withdrawn or has expired.
+    fn handle_fact(&mut self, now: Millis, news: News, outbox: &mut Outbox, outputs: &mut Vec<Output>) {
         let News { owner, fact, age } = news;
-        let (ended, server) = (fact.body.is_empty(), ServerKey(fact.key));
+        let (withdrawn, server) = (fact.body.is_empty(), ServerKey(fact.key));
         match fact.kind {
             FactKind::REACHABILITY => {
                 if let Ok(reach) = postcard::from_bytes(&fact.body) {
-                    let reach = coordinator::Input::DiscoveryReach { member: owner, reach };
-                    self.coordinate(now, reach, outbox, out);
+                    let input = coordinator::Input::DiscoveryReach { member: owner, reach };
+                    self.run_coordinator(now, input, outbox, outputs);
                 }
             }
             FactKind::SERVER_STATE => {
                 let standing = postcard::from_bytes(&fact.body).ok();
                 let evidence = coordinator::Input::Evidence { reporter: owner, server, standing };
-                self.coordinate(now, evidence, outbox, out);
+                self.run_coordinator(now, evidence, outbox, outputs);
             }
             FactKind::LIST_VERSION => {
                 let list = coordinator::Input::ListFact { member: owner, body: fact.body };
-                self.coordinate(now, list, outbox, out);
+                self.run_coordinator(now, list, outbox, outputs);
             }
-            FactKind::LOAD | FactKind::SHEDDING_LEVEL if ended => {}
+            FactKind::LOAD | FactKind::SHEDDING_LEVEL if withdrawn => {}
             FactKind::LOAD | FactKind::SHEDDING_LEVEL => {
                 self.overload.heard(now.saturating_sub(age), owner, &fact);
             }
             FactKind::LOAD_REPORT => {
                 if let Some(report) = overload::report_of(&fact) {
                     self.overload.heard(now.saturating_sub(age), owner, &fact);
-                    out.push(Output::LoadReport { server, report, age });
+                    outputs.push(Output::LoadReport { server, report, age });
                 }
             }
             FactKind::EJECTION_PROBE => {
-                let lately = age <= self.config.timing.period.saturating_mul(TRIAL_PERIODS);
-                if let Some(well) = overload::trial_of(&fact).filter(|_| lately) {
+                let recent = age <= self.config.timing.period.saturating_mul(PROBE_RESULT_PERIODS);
+                if let Some(succeeded) = overload::trial_of(&fact).filter(|_| recent) {
                     self.overload.heard(now.saturating_sub(age), owner, &fact);
-                    out.push(Output::EjectionProbeEnded { server, succeeded: well });
+                    outputs.push(Output::EjectionProbeEnded { server, succeeded });
                 }
             }
-            // Rules, and kinds of later builds, for whoever reads them.
-            _ => out.push(Output::FactReceived { owner, fact }),
+            // Residency rules, and kinds of newer builds, which this crate does not interpret.
+            _ => outputs.push(Output::FactReceived { owner, fact }),
         }
     }
 
-    /// Takes in how discovery looks from here.
-    fn reached(&mut self, now: Millis, reach: Reachability, outbox: &mut Outbox, out: &mut Vec<Output>) {
-        if self.reach == Some(reach) {
+    /// Handles a report of whether this process can reach discovery. A change is published.
+    fn set_reachability(
+        &mut self,
+        now: Millis,
+        reach: Reachability,
+        outbox: &mut Outbox,
+        outputs: &mut Vec<Output>,
+    ) {
+        if self.reachability == Some(reach) {
             return;
         }
-        self.reach = Some(reach);
+        self.reachability = Some(reach);
         let fact = postcard::to_allocvec(&reach).ok().map(|body| Fact {
             kind: FactKind::REACHABILITY,
             key: 0,
             body,
         });
-        self.put(now, fact);
-        self.coordinate(
+        self.publish(now, fact);
+        self.run_coordinator(
             now,
             coordinator::Input::DiscoveryReach { member: self.config.me, reach },
             outbox,
-            out,
+            outputs,
         );
     }
 
-    /// Takes in what this member saw of a server.
-    fn saw(
+    /// Handles an observation of a server's state, and publishes it unless it was published a short time ago.
+    fn observe_server(
         &mut self,
         now: Millis,
         server: ServerKey,
-        standing: ServerState,
+        state: ServerState,
         outbox: &mut Outbox,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
-        let before = match standing {
-            ServerState::Serving => self.seen.remove(&server),
-            _ => self.seen.get(&server).copied(),
+        let previous = match state {
+            ServerState::Serving => self.observed.remove(&server),
+            _ => self.observed.get(&server).copied(),
         };
-        // Whoever sees the same at each send does not say it at each.
-        let said = before.filter(|seen| {
-            seen.standing == standing && now.saturating_sub(seen.said) < self.config.timing.lease
+        // A member may observe the same state with every request. It publishes it at most once per lease
+        // duration.
+        let recent = previous.filter(|observation| {
+            observation.state == state
+                && now.saturating_sub(observation.published_at) < self.config.timing.lease
         });
-        if standing != ServerState::Serving {
-            self.seen.insert(server, Seen { standing, at: now, said: said.map_or(now, |seen| seen.said) });
+        if state != ServerState::Serving {
+            self.observed.insert(
+                server,
+                Observation {
+                    state,
+                    observed_at: now,
+                    published_at: recent.map_or(now, |observation| observation.published_at),
+                },
+            );
         }
-        if said.is_none() && (before.is_some() || standing != ServerState::Serving) {
-            self.evidence(now, server, Some(standing), outbox, out);
+        if recent.is_none() && (previous.is_some() || state != ServerState::Serving) {
+            self.publish_observation(now, server, Some(state), outbox, outputs);
         }
     }
 
-    /// Takes back what was seen too long ago.
-    fn forget_seen(&mut self, now: Millis, outbox: &mut Outbox, out: &mut Vec<Output>) {
-        let over = self.config.timing.lease.saturating_mul(SEEN_LEASES);
-        let forgotten: Vec<ServerKey> = self
-            .seen
+    /// Withdraws observations that were not repeated for too long.
+    fn expire_observations(&mut self, now: Millis, outbox: &mut Outbox, outputs: &mut Vec<Output>) {
+        let max_age = self.config.timing.lease.saturating_mul(OBSERVATION_LEASES);
+        let expired: Vec<ServerKey> = self
+            .observed
             .iter()
-            .filter(|(_, seen)| now.saturating_sub(seen.at) > over)
+            .filter(|(_, observation)| now.saturating_sub(observation.observed_at) > max_age)
             .map(|(server, _)| *server)
             .collect();
-        for server in forgotten {
-            self.seen.remove(&server);
-            self.evidence(now, server, None, outbox, out);
+        for server in expired {
+            self.observed.remove(&server);
+            self.publish_observation(now, server, None, outbox, outputs);
         }
     }
 
-    fn evidence(
+    /// Publishes an observation of a server's state as a fact and reports it to the coordinator. `None`
+    /// withdraws an earlier observation.
+    fn publish_observation(
         &mut self,
         now: Millis,
         server: ServerKey,
-        standing: Option<ServerState>,
+        state: Option<ServerState>,
         outbox: &mut Outbox,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
-        let standing = standing.filter(|standing| *standing != ServerState::Serving);
-        let body = standing.and_then(|standing| postcard::to_allocvec(&standing).ok()).unwrap_or_default();
-        self.put(now, Some(Fact { kind: FactKind::SERVER_STATE, key: server.0, body }));
-        let evidence = coordinator::Input::Evidence { reporter: self.config.me, server, standing };
-        self.coordinate(now, evidence, outbox, out);
+        let state = state.filter(|state| *state != ServerState::Serving);
+        let body = state.and_then(|state| postcard::to_allocvec(&state).ok()).unwrap_or_default();
+        self.publish(now, Some(Fact { kind: FactKind::SERVER_STATE, key: server.0, body }));
+        let evidence = coordinator::Input::Evidence { reporter: self.config.me, server, standing: state };
+        self.run_coordinator(now, evidence, outbox, outputs);
     }
 
-    /// Hands something to the coordinator, and does what it wants.
-    fn coordinate(
+    /// Passes an input to the coordinator and carries out its outputs.
+    fn run_coordinator(
         &mut self,
         now: Millis,
         input: coordinator::Input,
         outbox: &mut Outbox,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
-        let mut wanted = Vec::new();
-        self.coordinator.handle(now, input, &mut wanted);
-        for wanted in wanted {
-            match wanted {
+        let mut requested = Vec::new();
+        self.coordinator.handle(now, input, &mut requested);
+        for output in requested {
+            match output {
                 coordinator::Output::Send { to, message } => {
                     if let Ok(body) = postcard::to_allocvec(&message) {
                         outbox.push(to, PartKind::COORDINATOR, &body);
                     }
                 }
                 coordinator::Output::WakeAt(at) => {
-                    self.wakes.insert(at);
-                    // It is woken each period anyway.
-                    while self.wakes.len() > 16 {
-                        self.wakes.pop_last();
+                    self.coordinator_wakes.insert(at);
+                    // Dropping the latest wakes is safe, because the coordinator is woken every period
+                    // anyway.
+                    while self.coordinator_wakes.len() > 16 {
+                        self.coordinator_wakes.pop_last();
                     }
                 }
-                coordinator::Output::SetPolling(asking) => out.push(Output::SetPolling(asking)),
+                coordinator::Output::SetPolling(rate) => outputs.push(Output::SetPolling(rate)),
                 coordinator::Output::ServerChanged { entry, why } => {
-                    out.push(Output::ServerChanged { entry, why })
+                    outputs.push(Output::ServerChanged { entry, why })
                 }
-                coordinator::Output::Publish(fact) => self.put(now, Some(fact)),
-                coordinator::Output::Log(note) => out.push(Output::Log(note)),
+                coordinator::Output::Publish(fact) => self.publish(now, Some(fact)),
+                coordinator::Output::Log(line) => outputs.push(Output::Log(line)),
             }
         }
     }
 
-    fn put(&mut self, now: Millis, facts: impl IntoIterator<Item = Fact>) {
+    /// Publishes facts of this member.
+    fn publish(&mut self, now: Millis, facts: impl IntoIterator<Item = Fact>) {
         for fact in facts {
             self.facts.put(now, fact);
         }
     }
 
-    fn ask_for_timer(&mut self, now: Millis, out: &mut Vec<Output>) {
-        let wakes = [self.membership.next_timer(), self.wakes.first().copied()];
-        let next = wakes.into_iter().flatten().fold(self.period, Millis::min).max(now.saturating_add(1));
-        // One that was asked for and is still to come, no later than this, stays good.
-        if self.asked.is_none_or(|asked| asked <= now || next < asked) {
-            self.asked = Some(next);
-            out.push(Output::WakeAt(next));
+    /// Requests a wake for the next time at which something is due.
+    fn request_timer(&mut self, now: Millis, outputs: &mut Vec<Output>) {
+        let wakes = [self.membership.next_timer(), self.coordinator_wakes.first().copied()];
+        let next = wakes.into_iter().flatten().fold(self.next_period, Millis::min).max(now.saturating_add(1));
+        // An earlier request that is still pending and no later than this one remains valid.
+        if self.requested_wake.is_none_or(|requested| requested <= now || next < requested) {
+            self.requested_wake = Some(next);
+            outputs.push(Output::WakeAt(next));
         }
     }
 }
 
-/// The bound of a server that is cold.
-fn cold(known: &KnownServer) -> Option<SharedLimit> {
+/// Returns the limit on requests to a server while it is warming up, or `None` if it is not.
+fn slow_start_limit(known: &KnownServer) -> Option<SharedLimit> {
     known.started?;
-    // What is no number is none.
+    // The cast turns NaN into 0.
     let total = known.slow_start_requests.clamp(0.0, f64::from(u32::MAX)) as u32;
     Some(SharedLimit { resource: known.server.0, total, window: known.slow_start_window })
 }
