--- a/crates/peers/src/peer.rs
+++ b/crates/peers/src/peer.rs
@@ -124,9 +124,9 @@
             Input::Datagram { from, bytes } => self.handle_datagram(now, from, bytes, &mut outbox, outputs),
             Input::Woke => {}
             Input::Discovery(reachability) => self.set_reachability(now, reachability, &mut outbox, outputs),
-            Input::ListUpdate { version, complete: whole, entries } => {
+            Input::ListUpdate { version, complete, entries } => {
                 self.set_reachability(now, Reachability::Up, &mut outbox, outputs);
-                let update = coordinator::Input::ListUpdate { version, complete: whole, entries };
+                let update = coordinator::Input::ListUpdate { version, complete, entries };
                 self.run_coordinator(now, update, &mut outbox, outputs);
             }
             Input::ServerObserved { server, state } => {
@@ -275,9 +275,9 @@
 
     /// Handles a notice that another member knows a higher incarnation of this member, because this member's
     /// wall clock was set back between two starts. This member then continues as a newly started process with
-    /// an even higher incarnation, and keeps only what such a process would know. The notice has no effect if
-    /// the incarnation that the other member knows is this process's own, as it is when the notice answers a
-    /// late datagram of an earlier process.
+    /// an even higher incarnation: it starts over with empty membership, facts and leases, and publishes its
+    /// own facts again. The notice has no effect if the incarnation that the other member knows is this
+    /// process's own, as it is when the notice answers a late datagram of an earlier process.
     fn handle_stale_incarnation(
         &mut self,
         now: Millis,
