--- a/crates/peers/src/leases.rs
+++ b/crates/peers/src/leases.rs
@@ -1,30 +1,36 @@
-//! What this member may use of things that all members share: whole requests to a cold server in each window.
+//! Leases on limits that all members share: how many requests they may together send to a server that is
+//! warming up in each window.
 //!
-//! **Rights.** A bound of B requests in each window W is split over the *configured* members by rendezvous hashing: member
-//! m has R(m) by right, and these add up to B exactly. A right is never dealt, voted for or lost, whoever lives. It depends
-//! on the server's key and on B alone: each member has its own view of when a server started, and two views
-//! of a split would add up to more. Where members know different B, what they have is no more than by the highest, as
-//! R(m) only grows with B.
+//! **Quotas.** A limit of B requests per window W is divided among the *configured* members by rendezvous
+//! hashing. Member m has a fixed quota R(m), and the quotas add up to exactly B. Quotas are never dealt out,
+//! voted on or lost, whichever members are alive. They depend only on the server's key and on B, not on when
+//! a server started: each member has its own view of that, and the quotas of two different divisions could
+//! add up to more than B. If members know different values of B, their quotas add up to at most the highest
+//! of these, because R(m) only grows with B.
 //!
-//! **Grants.** What a member hands to its module at time t, to be used until u, counts as used the moment it is handed
-//! out, and is charged against R(m) until u + W, by its own clock. In a window from x to x + W count only grants with
-//! t <= x + W and u >= x. Let s be the latest t among them: each of them was handed out by s and is charged until
-//! u + W >= x + W >= s, so that all of them are charged at s together; at no time is more charged than R(m).
+//! **Grants.** A member grants requests to its module at time t, for use until time u. They count as used as
+//! soon as they are granted, and are charged against R(m) until u + W by the member's own clock. Only grants
+//! with t <= x + W and u >= x can be used in a window from x to x + W. Let s be the latest t among them. Each
+//! of these grants was made by s and is charged until u + W >= x + W >= s, so all of them are charged
+//! together at time s. No more than R(m) is charged at any time.
 //!
-//! **Loans.** A borrower asks at time a, and may use what it is lent until a + L by its own clock, once. The lender hears it
-//! later than that, at r, and charges the loan against its right from r until its own clock has gone on by
-//! (L + W) (1 + d) / (1 - d), where d bounds by what share a clock is fast or slow: the lender's clock
-//! runs at most at 1 + d, so at least (L + W) / (1 - d) of real time go by, which is what the borrower's L takes at most,
-//! and one window more. So a loan is one more grant in the sum above, given by the lender. A doubled ask gets the same
-//! loan again, and a doubled loan counts once; a lost one comes back to the lender by time.
+//! **Loans.** A borrower requests a loan at time a. It may use what it gets until a + L by its own clock,
+//! once. The lender receives the request at a later time r. It charges the loan against its own quota from r
+//! until its own clock has advanced by (L + W) (1 + d) / (1 - d), where d is the largest fraction by which a
+//! clock is fast or slow. The lender's clock runs at 1 + d at most, so at least (L + W) / (1 - d) of real
+//! time passes. That covers the longest real time that the borrower's L can take, and one more window. A loan
+//! is therefore one more grant in the sum above, made by the lender. A duplicated request gets the same loan
+//! again, and a duplicated loan counts once. A lost loan returns to the lender when its charge ends.
 //!
-//! **Clocks.** W is real time: grants are charged for W (1 + d) by the member's own clock, which is no less.
+//! **Clocks.** W is real time. Grants are charged for W (1 + d) by the member's own clock, which is at least
+//! W of real time.
 //!
-//! **Restarts.** A new process does not know what its former self handed out or lent. It uses nothing by right until
-//! (L + W) (1 + d) / (1 - d) after its start, with the longest L, by when all of that is over. It may borrow.
+//! **Restarts.** A new process does not know what the previous one granted or lent. It uses none of its quota
+//! until (L + W) (1 + d) / (1 - d) after its start, with the longest possible L. By then, all earlier grants
+//! and loans are over. It may borrow in the meantime.
 //!
-//! So the sum of what all members are given in any window of real time is at most B, with any datagrams lost, doubled or
-//! late, in any partition, and with any restarts.
+//! As a result, the sum of what all members may use in any window of real time is at most B, whichever
+//! datagrams are lost, duplicated or delayed, under any partition, and with any restarts.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -36,163 +42,173 @@
 use crate::rendezvous;
 use crate::wire::{Outbox, PartKind};
 
-/// How many loans a member asks for in a period at most.
-const ASKS: usize = 2;
+/// The maximum number of loans that a member requests per period.
+const MAX_REQUESTS_PER_PERIOD: usize = 2;
 
-/// Something of which all members together may use so much.
+/// A limit that all members share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SharedLimit {
-    /// Which one: a server's key.
+    /// The resource that is limited, as the server's key.
     pub resource: u64,
-    /// Whole requests in each window.
+    /// The number of requests per window.
     pub total: u32,
     /// The window, in milliseconds of real time.
     pub window: Millis,
 }
 
-/// A word between borrower and lender.
+/// A message between a borrower and a lender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Lend me of this what you can spare.
+    /// Requests a loan of the part of the lender's quota that it can spare.
     Request {
-        /// What of.
+        /// The resource.
         resource: u64,
-        /// Of this borrower's process, never used before.
+        /// Identifies the request among those of the borrower's process.
         nonce: u32,
-        /// For so many milliseconds from now, by the borrower's clock.
+        /// How long the loan lasts, in milliseconds from the request, by the borrower's clock.
         span: Millis,
     },
-    /// What was asked for, or part of it.
+    /// Grants a loan.
     Loan {
-        /// The ask that this answers.
+        /// The nonce of the request that this answers.
         nonce: u32,
-        /// So many requests.
+        /// The number of requests that the borrower may send.
         requests: u32,
     },
 }
 
+/// The state of one shared resource at this member.
 #[derive(Debug, Default)]
-struct Thing {
-    /// What the whole is now, or nothing where it is not shared at present.
-    bound: Option<SharedLimit>,
-    right: u32,
-    /// Those with any right, where not all have.
-    holders: Option<BTreeSet<MemberId>>,
-    /// What of the right was handed out or lent, and until when that counts, inclusive.
+struct ResourceState {
+    /// The current limit. `None` if the resource is not limited at present.
+    limit: Option<SharedLimit>,
+    /// This member's quota of the limit.
+    quota: u32,
+    /// The members with a quota above zero. `None` if all members have one.
+    quota_holders: Option<BTreeSet<MemberId>>,
+    /// The parts of the quota that were granted or lent, each with the last time at which it is charged.
     charges: Vec<(Millis, u32)>,
-    /// What was borrowed, and until when it may be used.
+    /// The loans that this member received, each with the time until which it may be used.
     borrowed: Vec<(Millis, u32)>,
-    /// Somebody asked in vain.
-    owed: bool,
-    /// What was spare last was lent, so that the next is this member's own.
-    mine_next: bool,
+    /// Whether a loan request was refused since the last loan was made.
+    request_refused: bool,
+    /// Whether the quota was last used for a loan, so that this member keeps the next part for itself.
+    keep_next: bool,
 }
 
-impl Thing {
-    fn spare(&mut self, now: Millis) -> u32 {
+impl ResourceState {
+    /// Returns the part of the quota that is not charged now, and forgets charges that are over.
+    fn uncharged(&mut self, now: Millis) -> u32 {
         self.charges.retain(|(until, _)| *until >= now);
         let charged = self.charges.iter().fold(0_u32, |sum, (_, amount)| sum.saturating_add(*amount));
-        self.right.saturating_sub(charged)
+        self.quota.saturating_sub(charged)
     }
 }
 
-/// What this member may use, has lent and has borrowed.
+/// The quotas, grants and loans of this member.
 #[derive(Debug)]
 pub struct LeaseTable {
     me: MemberId,
     members: Vec<MemberId>,
     started: Millis,
-    /// The longest loan, and the time of one asked for.
-    longest: Millis,
-    span: Millis,
+    /// The longest span of a grant or a loan.
+    max_span: Millis,
+    /// The span of the loans that this member requests.
+    request_span: Millis,
     period: Millis,
     drift: f64,
-    things: BTreeMap<u64, Thing>,
+    resources: BTreeMap<u64, ResourceState>,
+    /// The nonce of this member's last request.
     nonce: u32,
-    /// Own asks that may still be answered: of what, and until when a loan would last.
-    asked: BTreeMap<u32, (u64, Millis)>,
-    /// What was lent by whom it was asked and by which ask, and until when it is charged.
-    lent: BTreeMap<(MemberId, u64, u32), (Millis, u32)>,
+    /// This member's requests that may still be answered, by nonce: the resource, and when the loan would
+    /// end.
+    pending_requests: BTreeMap<u32, (u64, Millis)>,
+    /// The loans that this member made, with the end of their charge, by the borrower, its incarnation and
+    /// the request's nonce.
+    loans_given: BTreeMap<(MemberId, u64, u32), (Millis, u32)>,
     rng: Pcg64Mcg,
 }
 
 impl LeaseTable {
-    /// The ledger of a process that started now with this incarnation.
+    /// Creates the table of a process that starts now with this incarnation.
     pub fn new(config: &Config, now: Millis, incarnation: u64, seed: u64) -> LeaseTable {
         let timing = &config.timing;
         LeaseTable {
             me: config.me,
             members: (0..config.members.len()).filter_map(|m| u16::try_from(m).ok()).map(MemberId).collect(),
             started: now,
-            longest: timing.lease,
-            span: timing.period.saturating_mul(3).min(timing.lease),
+            max_span: timing.lease,
+            request_span: timing.period.saturating_mul(3).min(timing.lease),
             period: timing.period.max(1),
             drift: timing.drift,
-            things: BTreeMap::new(),
-            nonce: first_nonce(incarnation),
-            asked: BTreeMap::new(),
-            lent: BTreeMap::new(),
+            resources: BTreeMap::new(),
+            nonce: initial_nonce(incarnation),
+            pending_requests: BTreeMap::new(),
+            loans_given: BTreeMap::new(),
             rng: Pcg64Mcg::seed_from_u64(seed),
         }
     }
 
-    /// How much of a total a member may use by right: over all configured members these add up to the total.
-    pub fn quota(&self, thing: u64, total: u32, member: MemberId) -> u32 {
-        let shares = rendezvous::split(u64::from(total), thing, &self.members);
-        let share = self.members.binary_search(&member).ok().and_then(|place| shares.get(place));
+    /// Returns a member's quota of a total. The quotas of all configured members add up to the total.
+    pub fn quota(&self, resource: u64, total: u32, member: MemberId) -> u32 {
+        let shares = rendezvous::split(u64::from(total), resource, &self.members);
+        let share = self.members.binary_search(&member).ok().and_then(|index| shares.get(index));
         share.and_then(|share| u32::try_from(*share).ok()).unwrap_or(0)
     }
 
-    /// Takes in all that is shared now. What is not there any more is remembered while it is charged.
-    pub fn set_limits(&mut self, now: Millis, bounds: impl IntoIterator<Item = SharedLimit>) {
+    /// Replaces the limits. The state of a resource that is no longer limited is kept while something is
+    /// charged to it.
+    pub fn set_limits(&mut self, now: Millis, limits: impl IntoIterator<Item = SharedLimit>) {
         let mut fresh: BTreeMap<u64, SharedLimit> =
-            bounds.into_iter().map(|bound| (bound.resource, bound)).collect();
-        for (key, thing) in &mut self.things {
-            let bound = fresh.remove(key);
-            if bound.map(|bound| bound.total) == thing.bound.map(|bound| bound.total) {
-                thing.bound = bound;
-            } else if let Some(bound) = bound {
-                fresh.insert(*key, bound);
+            limits.into_iter().map(|limit| (limit.resource, limit)).collect();
+        for (key, state) in &mut self.resources {
+            let limit = fresh.remove(key);
+            if limit.map(|limit| limit.total) == state.limit.map(|limit| limit.total) {
+                state.limit = limit;
+            } else if let Some(limit) = limit {
+                fresh.insert(*key, limit);
             } else {
-                thing.bound = None;
+                state.limit = None;
             }
         }
-        for (key, bound) in fresh {
-            let right = self.quota(key, bound.total, self.me);
-            let some = (bound.total as usize) < self.members.len();
-            let holders = some
-                .then(|| rendezvous::owners(key, &self.members, bound.total as usize).into_iter().collect());
-            let thing = self.things.entry(key).or_default();
-            (thing.bound, thing.right, thing.holders) = (Some(bound), right, holders);
+        for (key, limit) in fresh {
+            let quota = self.quota(key, limit.total, self.me);
+            let partial = (limit.total as usize) < self.members.len();
+            let quota_holders = partial
+                .then(|| rendezvous::owners(key, &self.members, limit.total as usize).into_iter().collect());
+            let state = self.resources.entry(key).or_default();
+            (state.limit, state.quota, state.quota_holders) = (Some(limit), quota, quota_holders);
         }
-        self.things.retain(|_, thing| {
-            thing.charges.retain(|(until, _)| *until >= now);
-            thing.bound.is_some() || !thing.charges.is_empty()
+        self.resources.retain(|_, state| {
+            state.charges.retain(|(until, _)| *until >= now);
+            state.limit.is_some() || !state.charges.is_empty()
         });
     }
 
-    /// Hands out what this member may use from now until so many milliseconds later at most: it counts as used.
-    pub fn grant(&mut self, now: Millis, thing: u64, span: Millis) -> Option<SlowStartLease> {
-        let span = span.min(self.longest);
-        let own = self.may_use(now, thing);
+    /// Grants what this member may use from now on, for at most `span` milliseconds. The grant counts as used
+    /// at once. Returns `None` if the resource is not limited.
+    pub fn grant(&mut self, now: Millis, resource: u64, span: Millis) -> Option<SlowStartLease> {
+        let span = span.min(self.max_span);
+        let may_use_quota = self.quota_usable(now, resource);
         let drift = self.drift;
         let period = self.period;
-        let thing = self.things.get_mut(&thing)?;
-        let bound = thing.bound?;
+        let state = self.resources.get_mut(&resource)?;
+        let limit = state.limit?;
         let mut until = now.saturating_add(span);
-        let window = stretched(bound.window, 1.0 + drift);
+        let window = scaled(limit.window, 1.0 + drift);
         let mut requests = 0;
-        if own {
-            // In equal parts over the time that a grant is charged, and one for whom had to wait.
+        if may_use_quota {
+            // The quota is granted in equal parts over the time that a grant is charged. One request is left
+            // over for a borrower whose request was refused.
             let parts = u32::try_from(window.saturating_add(span) / period).unwrap_or(u32::MAX).max(1);
-            let kept = u32::from(thing.owed && !thing.mine_next);
-            requests = thing.spare(now).saturating_sub(kept).min(thing.right.div_ceil(parts));
+            let reserved = u32::from(state.request_refused && !state.keep_next);
+            requests = state.uncharged(now).saturating_sub(reserved).min(state.quota.div_ceil(parts));
             if requests > 0 {
-                thing.charges.push((until.saturating_add(window), requests));
-                thing.mine_next = false;
+                state.charges.push((until.saturating_add(window), requests));
+                state.keep_next = false;
             }
         }
-        for (end, amount) in std::mem::take(&mut thing.borrowed) {
+        for (end, amount) in std::mem::take(&mut state.borrowed) {
             if end > now {
                 until = until.min(end);
                 requests = requests.saturating_add(amount);
@@ -201,52 +217,50 @@
         Some(SlowStartLease { requests, until })
     }
 
-    /// Asks for loans where this member has nothing left, once a period.
-    pub fn on_period(&mut self, now: Millis, living: &[MemberId], out: &mut Outbox) {
-        self.asked.retain(|_, (_, end)| *end > now);
-        self.lent.retain(|_, (until, _)| *until >= now);
-        let mut short: Vec<u64> = Vec::new();
-        for (&key, thing) in &mut self.things {
-            if thing.bound.is_some_and(|bound| bound.total > 0)
-                && thing.borrowed.is_empty()
-                && thing.spare(now) == 0
+    /// Does the periodic work: requests loans for resources of which this member has nothing left.
+    pub fn on_period(&mut self, now: Millis, living: &[MemberId], outbox: &mut Outbox) {
+        self.pending_requests.retain(|_, (_, end)| *end > now);
+        self.loans_given.retain(|_, (until, _)| *until >= now);
+        let mut exhausted: Vec<u64> = Vec::new();
+        for (&key, state) in &mut self.resources {
+            if state.limit.is_some_and(|limit| limit.total > 0)
+                && state.borrowed.is_empty()
+                && state.uncharged(now) == 0
             {
-                short.push(key);
+                exhausted.push(key);
             }
         }
-        for _ in 0..ASKS.min(short.len()) {
-            let thing = short.swap_remove(self.rng.random_range(0..short.len()));
-            let Some(to) = self.lender(thing, living) else { continue };
+        for _ in 0..MAX_REQUESTS_PER_PERIOD.min(exhausted.len()) {
+            let resource = exhausted.swap_remove(self.rng.random_range(0..exhausted.len()));
+            let Some(to) = self.pick_lender(resource, living) else { continue };
             self.nonce = self.nonce.wrapping_add(1);
-            self.asked.insert(self.nonce, (thing, now.saturating_add(self.span)));
-            send(to, Message::Request { resource: thing, nonce: self.nonce, span: self.span }, out);
+            self.pending_requests.insert(self.nonce, (resource, now.saturating_add(self.request_span)));
+            send(to, Message::Request { resource, nonce: self.nonce, span: self.request_span }, outbox);
         }
     }
 
-    /// Takes in a word of another member's process. False: it is malformed or absurd.
+    /// Handles a message of another member's process. Returns false if it is malformed or invalid.
     pub fn handle_message(
         &mut self,
         now: Millis,
         from: MemberId,
         incarnation: u64,
         body: &[u8],
-        out: &mut Outbox,
+        outbox: &mut Outbox,
     ) -> bool {
         match postcard::from_bytes(body) {
-            Ok(Message::Request { resource: thing, nonce, span })
-                if span <= self.longest && from != self.me =>
-            {
-                if let Some(requests) = self.lend(now, (from, incarnation, nonce), thing, span) {
-                    send(from, Message::Loan { nonce, requests }, out);
+            Ok(Message::Request { resource, nonce, span }) if span <= self.max_span && from != self.me => {
+                if let Some(requests) = self.lend(now, (from, incarnation, nonce), resource, span) {
+                    send(from, Message::Loan { nonce, requests }, outbox);
                 }
                 true
             }
             Ok(Message::Loan { nonce, requests }) => {
-                if let Some((thing, end)) = self.asked.remove(&nonce)
+                if let Some((resource, end)) = self.pending_requests.remove(&nonce)
                     && end > now
-                    && let Some(thing) = self.things.get_mut(&thing)
+                    && let Some(state) = self.resources.get_mut(&resource)
                 {
-                    thing.borrowed.push((end, requests));
+                    state.borrowed.push((end, requests));
                 }
                 true
             }
@@ -254,77 +268,92 @@
         }
     }
 
-    /// What is lent for an ask, if anything.
-    fn lend(&mut self, now: Millis, ask: (MemberId, u64, u32), thing: u64, span: Millis) -> Option<u32> {
-        if let Some((until, requests)) = self.lent.get(&ask)
+    /// Makes a loan for a request. Returns the number of requests lent, or `None` if the request is refused.
+    /// A repeated request gets the same loan again.
+    fn lend(
+        &mut self,
+        now: Millis,
+        request: (MemberId, u64, u32),
+        resource: u64,
+        span: Millis,
+    ) -> Option<u32> {
+        if let Some((until, requests)) = self.loans_given.get(&request)
             && *until >= now
         {
             return Some(*requests);
         }
-        if !self.may_use(now, thing) {
+        if !self.quota_usable(now, resource) {
             return None;
         }
-        let (drift, mine) = (self.drift, self.right_kept(thing));
-        let thing = self.things.get_mut(&thing)?;
-        let bound = thing.bound?;
-        let spare = thing.spare(now).saturating_sub(mine);
+        let (drift, reserved) = (self.drift, self.reserved_for_self(resource));
+        let state = self.resources.get_mut(&resource)?;
+        let limit = state.limit?;
+        let spare = state.uncharged(now).saturating_sub(reserved);
         if spare == 0 {
-            thing.owed = true;
+            state.request_refused = true;
             return None;
         }
         let requests = spare.div_ceil(2);
-        let until = now.saturating_add(outlasting(span.saturating_add(bound.window), drift));
-        thing.charges.push((until, requests));
-        (thing.owed, thing.mine_next) = (false, true);
-        self.lent.insert(ask, (until, requests));
+        let until = now.saturating_add(charge_duration(span.saturating_add(limit.window), drift));
+        state.charges.push((until, requests));
+        (state.request_refused, state.keep_next) = (false, true);
+        self.loans_given.insert(request, (until, requests));
         Some(requests)
     }
 
-    /// What a member that lent last keeps for itself.
-    fn right_kept(&self, thing: u64) -> u32 {
-        self.things.get(&thing).map_or(0, |thing| u32::from(thing.mine_next))
+    /// Returns the part of the quota that this member does not lend, because it lent the previous part.
+    fn reserved_for_self(&self, resource: u64) -> u32 {
+        self.resources.get(&resource).map_or(0, |state| u32::from(state.keep_next))
     }
 
-    /// Whether what a former self of this process handed out or lent is over by now.
-    fn may_use(&self, now: Millis, thing: u64) -> bool {
-        let window = self.things.get(&thing).and_then(|thing| thing.bound).map_or(0, |bound| bound.window);
-        let over = outlasting(self.longest.saturating_add(window), self.drift);
-        now > self.started.saturating_add(over)
+    /// Returns whether this process may use its quota: whether all grants and loans of the previous process
+    /// are over.
+    fn quota_usable(&self, now: Millis, resource: u64) -> bool {
+        let window =
+            self.resources.get(&resource).and_then(|state| state.limit).map_or(0, |limit| limit.window);
+        let wait = charge_duration(self.max_span.saturating_add(window), self.drift);
+        now > self.started.saturating_add(wait)
     }
 
-    /// One of the living who has a right to it, at random.
-    fn lender(&mut self, thing: u64, living: &[MemberId]) -> Option<MemberId> {
-        let holders = self.things.get(&thing)?.holders.as_ref();
-        let able: Vec<MemberId> = match holders {
-            Some(holders) => {
-                holders.iter().copied().filter(|m| *m != self.me && living.binary_search(m).is_ok()).collect()
-            }
+    /// Returns a random living member with a quota of the resource.
+    fn pick_lender(&mut self, resource: u64, living: &[MemberId]) -> Option<MemberId> {
+        let quota_holders = self.resources.get(&resource)?.quota_holders.as_ref();
+        let candidates: Vec<MemberId> = match quota_holders {
+            Some(quota_holders) => quota_holders
+                .iter()
+                .copied()
+                .filter(|m| *m != self.me && living.binary_search(m).is_ok())
+                .collect(),
             None => living.iter().copied().filter(|m| *m != self.me).collect(),
         };
-        if able.is_empty() {
+        if candidates.is_empty() {
             return None;
         }
-        able.get(self.rng.random_range(0..able.len())).copied()
+        candidates.get(self.rng.random_range(0..candidates.len())).copied()
     }
 }
 
-/// Where a process begins to number its asks: a loan to a former one, which comes late, must not answer one of this. By
-/// Knuth's multiplicative hashing processes whose incarnations are near each other begin far apart.
-fn first_nonce(incarnation: u64) -> u32 {
+/// Returns the nonce that a process counts up from. Processes start at different nonces, so that a late loan
+/// to an earlier process does not answer a request of this one. Knuth's multiplicative hashing places
+/// processes with nearby incarnations far apart.
+fn initial_nonce(incarnation: u64) -> u32 {
     (incarnation as u32).wrapping_mul(0x9e37_79b1)
 }
 
-fn send(to: MemberId, message: Message, out: &mut Outbox) {
+/// Queues a lease message for a member.
+fn send(to: MemberId, message: Message, outbox: &mut Outbox) {
     if let Ok(body) = postcard::to_allocvec(&message) {
-        out.push(to, PartKind::LEASE, &body);
+        outbox.push(to, PartKind::LEASE, &body);
     }
 }
 
-/// A time of a clock that may be slow, by one that may be fast, in whole milliseconds and one for good measure.
-fn outlasting(time: Millis, drift: f64) -> Millis {
-    stretched(time, (1.0 + drift) / (1.0 - drift))
+/// Returns how long a clock that may be fast must run to cover a duration on a clock that may be slow,
+/// rounded up, plus one millisecond.
+fn charge_duration(time: Millis, drift: f64) -> Millis {
+    scaled(time, (1.0 + drift) / (1.0 - drift))
 }
 
-fn stretched(time: Millis, by: f64) -> Millis {
-    (time as f64 * by).ceil() as Millis + 1
+/// Multiplies a duration, rounding up, and adds one millisecond.
+fn scaled(time: Millis, factor: f64) -> Millis {
+    (time as f64 * factor).ceil() as Millis + 1
 }
--- a/crates/peers/src/membership.rs
+++ b/crates/peers/src/membership.rs
@@ -11,13 +11,13 @@
 //! - A suspected member is notified directly, several times within the time that it has to refute the
 //!   suspicion. At 30% packet loss one probe in five fails, and the suspicion should not depend on gossip to
 //!   reach its subject.
-//! - If the timer of a suspicion fires late because this process itself was suspended, the suspect gets half of
-//!   the time again. Its answers may be waiting in the socket.
-//! - `foca` sends each change a bounded number of times. At 30% packet loss, one member in fifty may miss that
-//!   another is gone until it probes that member itself, whole rounds later. So once per period each member
-//!   sends a digest of its member states to one random other member. If the digests differ, the receiver replies
-//!   with some of its states, those of gone members first. This can only bring the two views closer, because the
-//!   end of an identity is final and newer identities win.
+//! - If the timer of a suspicion fires late because this process itself was suspended, the suspect gets half
+//!   of the time again. Its answers may be waiting in the socket.
+//! - `foca` sends each change a bounded number of times. At 30% packet loss, one member in fifty may miss
+//!   that another is gone until it probes that member itself, whole rounds later. So once per period each
+//!   member sends a digest of its member states to one random other member. If the digests differ, the
+//!   receiver replies with some of its states, those of gone members first. This can only bring the two views
+//!   closer, because the end of an identity is final and newer identities win.
 //!
 //! The time until all members consider a failed member gone has three parts. First, some member probes it: on
 //! average one does in each [`Membership::probe_period`], whatever the size of the cluster, since every
@@ -483,8 +483,8 @@
             let alive = alive.unwrap_or_else(|| self.state(id.member) != MemberState::Gone);
             let Some(newest) = self.newest.get_mut(usize::from(id.member.0)) else { continue };
             let change = (id.incarnation, alive);
-            // TimerKind `foca` tells is in its order; of a process that is known to be replaced nothing is
-            // new.
+            // The changes are in the order of `foca`'s notifications. A change of a process that is known to be
+            // replaced is outdated.
             if *newest == Some(change) || newest.is_some_and(|(incarnation, _)| incarnation > id.incarnation)
             {
                 continue;
