--- a/crates/peers/src/config.rs
+++ b/crates/peers/src/config.rs
@@ -1,11 +1,11 @@
-//! What of a configuration a member cannot start with.
+//! Validation of a member's configuration.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 use crate::api::Config;
 
-/// Why a member cannot start.
+/// The reason why a configuration is invalid.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConfigError(pub String);
 
@@ -17,33 +17,43 @@
 
 impl std::error::Error for ConfigError {}
 
-/// Checks what would make members misunderstand each other.
-pub(crate) fn check(config: &Config) -> Result<(), ConfigError> {
-    let fault = |text: String| Err(ConfigError(text));
+/// Rejects a configuration with which members could not communicate or would disagree.
+pub(crate) fn validate(config: &Config) -> Result<(), ConfigError> {
+    let error = |text: String| Err(ConfigError(text));
     let members = &config.members;
     if members.len() > usize::from(u16::MAX) {
-        return fault(format!("{} members are more than {}", members.len(), u16::MAX));
+        return error(format!("{} members are configured; the maximum is {}", members.len(), u16::MAX));
     }
     if usize::from(config.me.0) >= members.len() {
-        return fault(format!("member {} is not among the {} configured", config.me.0, members.len()));
+        return error(format!(
+            "member index {} is out of range: {} members are configured",
+            config.me.0,
+            members.len()
+        ));
     }
     for pair in members.windows(2) {
-        if let [one, other] = pair
-            && one.name >= other.name
+        if let [first, second] = pair
+            && first.name >= second.name
         {
-            return fault(format!("member {} stands before {}: names must rise", one.name, other.name));
+            return error(format!(
+                "member {} precedes {}: member names must be unique and sorted",
+                first.name, second.name
+            ));
         }
     }
     let mut addresses = BTreeMap::new();
     for member in members {
         if usize::from(member.region.0) >= config.regions.len() {
-            return fault(format!(
-                "member {} is of region {}, which has no name",
+            return error(format!(
+                "member {} has region index {}, which is out of range",
                 member.name, member.region.0
             ));
         }
         if let Some(other) = addresses.insert(member.address, &member.name) {
-            return fault(format!("members {other} and {} have the address {}", member.name, member.address));
+            return error(format!(
+                "members {other} and {} have the same address {}",
+                member.name, member.address
+            ));
         }
     }
     let timing = &config.timing;
@@ -54,11 +64,11 @@
         ("election", timing.election),
     ] {
         if !(1..=3_600_000).contains(&time) {
-            return fault(format!("timing.{name} of {time} ms is not between 1 and 3,600,000"));
+            return error(format!("timing.{name} is {time} ms; it must be between 1 and 3,600,000"));
         }
     }
     if !(0.0..=0.5).contains(&timing.drift) {
-        return fault(format!("timing.drift of {} is not between 0 and 0.5", timing.drift));
+        return error(format!("timing.drift is {}; it must be between 0 and 0.5", timing.drift));
     }
     Ok(())
 }
--- a/crates/peers/src/incarnation_claims.rs
+++ b/crates/peers/src/incarnation_claims.rs
@@ -1,54 +1,62 @@
-//! What others claim to know of a later start of this member. Its incarnation is its wall clock's at the start, so that
-//! after a step back it is lower than that of the process before, and others pass over what it says.
+//! Claims by other members that this member has run with a higher incarnation before.
 //!
-//! A claim can be bogus, and one that is taken raises the incarnation for good: each later start has to be higher, up to
-//! [`MAX_INCARNATION`], beyond which no start is. So one claim alone raises it by [`NEAR`] at most, and only as many
-//! as [`VOUCHERS`] raise it further, to what all of these know.
+//! A process takes its incarnation from its wall clock at the start. If the clock was set back since the
+//! previous start, the incarnation is lower than that of the previous process, and other members ignore what
+//! this process sends. They then tell it the incarnation that they know, and it has to exceed that one.
+//!
+//! A claim can be false, and accepting one raises the incarnation for good: every later start has to use a
+//! higher one, and no incarnation is valid above [`MAX_INCARNATION`]. Therefore the claim of a single member
+//! raises it by [`MAX_SINGLE_CLAIM`] at most. A higher one needs claims of [`REQUIRED_CLAIMANTS`] members,
+//! and is raised only as far as all of them claim.
 
 use std::collections::BTreeMap;
 
 use crate::api::{MemberId, Millis};
 use crate::wire::MAX_INCARNATION;
 
-/// As far above its start a single claim is taken: a day, many times what clocks are stepped by.
-const NEAR: Millis = 24 * 60 * 60 * 1_000;
+/// How far above its incarnation at the start a process follows the claim of a single member: one day, which
+/// is many times what clocks are usually set back by.
+const MAX_SINGLE_CLAIM: Millis = 24 * 60 * 60 * 1_000;
 
-/// So many others have to know a start further ahead, such as after a clock that began at 1970; all of them in a fleet
-/// with fewer.
-const VOUCHERS: usize = 2;
+/// How many members must claim an incarnation that is further ahead, for example after a start with a clock
+/// that began at 1970. In a cluster with fewer other members, all of them must.
+const REQUIRED_CLAIMANTS: usize = 2;
 
-/// The claims of a later start than this member's.
+/// The claims that other members have made.
 #[derive(Debug)]
 pub struct IncarnationClaims {
-    started_as: u64,
-    vouchers: usize,
-    /// What each member claimed last, of those too far ahead for one alone.
-    far: BTreeMap<MemberId, u64>,
+    /// The incarnation of this process at its start.
+    start_incarnation: u64,
+    required_claimants: usize,
+    /// The last claim of each member, among those that are too far ahead for a single claim.
+    far_claims: BTreeMap<MemberId, u64>,
 }
 
 impl IncarnationClaims {
-    /// No claims yet, at a process that started with this incarnation and has so many others beside it.
+    /// Creates an empty set of claims for a process that started with this incarnation, in a cluster with
+    /// `others` other members.
     pub fn new(incarnation: u64, others: usize) -> IncarnationClaims {
         IncarnationClaims {
-            started_as: incarnation,
-            vouchers: VOUCHERS.min(others).max(1),
-            far: BTreeMap::new(),
+            start_incarnation: incarnation,
+            required_claimants: REQUIRED_CLAIMANTS.min(others).max(1),
+            far_claims: BTreeMap::new(),
         }
     }
 
-    /// Takes in that a configured member claims to know a start; the one that this member, which goes by `incarnation`
-    /// now, has to overtake, if it has to.
-    pub fn claimed(&mut self, by: MemberId, start: u64, incarnation: u64) -> Option<u64> {
-        if start <= incarnation || start >= MAX_INCARNATION {
+    /// Handles the claim of a configured member. `incarnation` is this member's current one. Returns the
+    /// incarnation that this member has to exceed, or `None` if it need not change its own.
+    pub fn claimed(&mut self, claimant: MemberId, claim: u64, incarnation: u64) -> Option<u64> {
+        if claim <= incarnation || claim >= MAX_INCARNATION {
             return None;
         }
-        if start <= self.started_as.saturating_add(NEAR) {
-            return Some(start);
+        if claim <= self.start_incarnation.saturating_add(MAX_SINGLE_CLAIM) {
+            return Some(claim);
         }
-        self.far.insert(by, start);
-        let mut known: Vec<u64> = self.far.values().copied().filter(|start| *start > incarnation).collect();
-        known.sort_unstable_by(|a, b| b.cmp(a));
-        known.get(self.vouchers - 1).copied()
+        self.far_claims.insert(claimant, claim);
+        let mut claims: Vec<u64> =
+            self.far_claims.values().copied().filter(|claim| *claim > incarnation).collect();
+        claims.sort_unstable_by(|a, b| b.cmp(a));
+        claims.get(self.required_claimants - 1).copied()
     }
 }
 
--- a/crates/peers/src/incarnation_claims/tests.rs
+++ b/crates/peers/src/incarnation_claims/tests.rs
@@ -2,34 +2,34 @@
 
 const START: u64 = 1_800_000_000_000;
 
-/// What a member among five has to overtake, by claims of others in their order.
+/// Returns the incarnation that a member among five has to exceed after these claims of others, in order.
 fn claimed(claims: &[(u16, u64)]) -> Option<u64> {
-    let mut later = IncarnationClaims::new(START, 4);
-    claims.iter().fold(None, |known, (by, start)| later.claimed(MemberId(*by), *start, START).or(known))
+    let mut state = IncarnationClaims::new(START, 4);
+    claims.iter().fold(None, |accepted, (by, claim)| state.claimed(MemberId(*by), *claim, START).or(accepted))
 }
 
 #[test]
-fn one_claim_is_enough_for_what_a_step_explains() {
+fn a_single_claim_is_accepted_up_to_one_day_ahead() {
     assert_eq!(claimed(&[(1, START + 3_600_000)]), Some(START + 3_600_000));
-    assert_eq!(claimed(&[(1, START + NEAR + 1)]), None);
+    assert_eq!(claimed(&[(1, START + MAX_SINGLE_CLAIM + 1)]), None);
 }
 
 #[test]
-fn a_start_far_ahead_is_what_two_others_know() {
-    let (far, bogus) = (START * 2, MAX_INCARNATION - 1);
-    assert_eq!(claimed(&[(1, far), (1, far)]), None, "one says it twice");
+fn a_claim_far_ahead_needs_two_members() {
+    let (far, false_claim) = (START * 2, MAX_INCARNATION - 1);
+    assert_eq!(claimed(&[(1, far), (1, far)]), None, "one member claims it twice");
     assert_eq!(claimed(&[(1, far), (2, far)]), Some(far));
-    assert_eq!(claimed(&[(1, bogus), (2, far)]), Some(far), "the second alone knows less");
+    assert_eq!(claimed(&[(1, false_claim), (2, far)]), Some(far), "only as far as both members claim");
     assert_eq!(
         IncarnationClaims::new(START, 1).claimed(MemberId(1), far, START),
         Some(far),
-        "there is no second"
+        "there is no second member"
     );
 }
 
 #[test]
-fn what_is_no_later_or_absurd_is_no_claim() {
-    for start in [0, START - 1, START, MAX_INCARNATION, u64::MAX] {
-        assert_eq!(claimed(&[(1, start), (2, start)]), None, "{start}");
+fn claims_that_are_not_higher_or_above_the_maximum_are_ignored() {
+    for claim in [0, START - 1, START, MAX_INCARNATION, u64::MAX] {
+        assert_eq!(claimed(&[(1, claim), (2, claim)]), None, "{claim}");
     }
 }
--- a/crates/peers/src/peer.rs
+++ b/crates/peers/src/peer.rs
@@ -11,7 +11,7 @@
     Config, Fact, FactKind, Guidance, Input, KnownServer, MemberId, Millis, Output, Reachability, ServerKey,
     ServerState,
 };
-use crate::config::{ConfigError, check};
+use crate::config::{ConfigError, validate};
 use crate::coordinator::{self, Coordinator};
 use crate::facts::{Facts, News};
 use crate::incarnation_claims::IncarnationClaims;
@@ -79,7 +79,7 @@
     /// Creates a member whose process started now. The incarnation must be higher than that of every earlier
     /// process of this member, for example the Unix time of the start in milliseconds.
     pub fn new(config: Config, now: Millis, incarnation: u64, seed: u64) -> Result<Peer, ConfigError> {
-        check(&config)?;
+        validate(&config)?;
         if incarnation > MAX_INCARNATION {
             return Err(ConfigError(format!(
                 "incarnation {incarnation} exceeds the maximum of {MAX_INCARNATION}"
--- a/crates/peers/src/stats.rs
+++ b/crates/peers/src/stats.rs
@@ -1,35 +1,36 @@
-//! Figures of a member.
+//! Statistics of a member.
 
 use crate::coordinator::{Role, Term};
 
-/// Figures of a member, for its operators.
+/// The state and the counters of a member, for its operators.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Stats {
-    /// Members that live, this one included.
+    /// Members that are alive, including this one.
     pub living: usize,
-    /// Members that are configured.
+    /// Configured members.
     pub members: usize,
-    /// What this member is in its region.
+    /// The role of this member in its region.
     pub role: Role,
-    /// The highest term it knows of.
+    /// The highest term that this member knows.
     pub term: Term,
-    /// The level of shedding, 0 to 1.
+    /// The shedding level, from 0 to 1.
     pub level: f64,
-    /// Words and renewals of older terms that were refused.
+    /// Directives and lease renewals that were rejected because they belong to an older term.
     pub stale_rejected: u64,
-    /// Facts that were refused: of nobody configured, too many, absurd.
+    /// Facts that were rejected: their owner is not configured, the owner has too many, or they are invalid.
     pub rejected_facts: u64,
-    /// Facts that are held.
+    /// Facts that this member holds.
     pub facts: usize,
-    /// Datagrams that were accepted.
+    /// Datagrams accepted.
     pub datagrams_in: u64,
-    /// Datagrams that were sent.
+    /// Datagrams sent.
     pub datagrams_out: u64,
-    /// Bytes that were accepted.
+    /// Bytes accepted.
     pub bytes_in: u64,
-    /// Bytes that were sent.
+    /// Bytes sent.
     pub bytes_out: u64,
-    /// Datagrams that were dropped, or parts of them: malformed, of another fleet, not from where their sender is
-    /// configured, or of a former self of a member.
+    /// Datagrams and parts of datagrams that were dropped. They are malformed, belong to another cluster,
+    /// come from an address that is not configured for their sender, or are of an outdated incarnation of a
+    /// member.
     pub dropped_datagrams: u64,
 }
