--- a/crates/peers/src/incarnation_claims.rs
+++ b/crates/peers/src/incarnation_claims.rs
@@ -2,7 +2,7 @@
 //!
 //! A process takes its incarnation from its wall clock at the start. If the clock was set back since the
 //! previous start, the incarnation is lower than that of the previous process, and other members ignore what
-//! this process sends. They then tell it the incarnation that they know, and it has to exceed that one.
+//! this process sends. They answer with the incarnation that they know, and this process has to exceed it.
 //!
 //! A claim can be false, and accepting one raises the incarnation for good: every later start has to use a
 //! higher one, and no incarnation is valid above [`MAX_INCARNATION`]. Therefore the claim of a single member
--- a/crates/peers/src/peer.rs
+++ b/crates/peers/src/peer.rs
@@ -219,10 +219,10 @@
         let newest = self.membership.incarnation(head.sender).unwrap_or(0);
         if head.incarnation < newest {
             self.dropped_datagrams += 1;
-            if let (Some(left), Ok(body)) =
+            if let (Some(remaining), Ok(body)) =
                 (self.stale_notices_left.checked_sub(1), postcard::to_allocvec(&newest))
             {
-                self.stale_notices_left = left;
+                self.stale_notices_left = remaining;
                 outbox.push(head.sender, PartKind::STALE_INCARNATION, &body);
             }
             return;
@@ -345,8 +345,8 @@
         let (mut guidance, facts) = self.overload.decide(now, self.config.me, self.membership.living());
         self.publish(now, facts);
         self.grant_slow_start(now, &mut guidance);
-        if let Some(note) = self.overload.note() {
-            outputs.push(Output::Log(note));
+        if let Some(line) = self.overload.note() {
+            outputs.push(Output::Log(line));
         }
         outputs.push(Output::Guidance(guidance));
         self.membership.on_period(now, outbox);
--- a/crates/peers/src/rendezvous.rs
+++ b/crates/peers/src/rendezvous.rs
@@ -17,13 +17,13 @@
 pub fn owners(key: u64, members: &[MemberId], k: usize) -> Vec<MemberId> {
     let mut best: Vec<(u64, MemberId)> = Vec::with_capacity(k.min(members.len()) + 1);
     for &member in members {
-        let weighed = (weight(key, member), member);
-        if best.len() == k && best.last().is_none_or(|last| *last >= weighed) {
+        let candidate = (weight(key, member), member);
+        if best.len() == k && best.last().is_none_or(|last| *last >= candidate) {
             continue;
         }
-        let index = best.partition_point(|other| *other > weighed);
-        if best.get(index) != Some(&weighed) {
-            best.insert(index, weighed);
+        let index = best.partition_point(|other| *other > candidate);
+        if best.get(index) != Some(&candidate) {
+            best.insert(index, candidate);
             best.truncate(k);
         }
     }
@@ -84,8 +84,8 @@
         let mut owned = [0; 100];
         for key in 0..2_000 {
             let (before, after) = (owners(key, &all, 2), owners(key, &rest, 2));
-            let kept = before.iter().filter(|member| after.contains(member)).count();
-            assert_eq!(kept, if before.contains(&MemberId(17)) { 1 } else { 2 });
+            let unmoved = before.iter().filter(|member| after.contains(member)).count();
+            assert_eq!(unmoved, if before.contains(&MemberId(17)) { 1 } else { 2 });
             before.iter().for_each(|member| owned[usize::from(member.0)] += 1);
         }
         // The mean is 40 keys per member. The bounds are five standard deviations of a Poisson distribution
