--- a/crates/concert/src/guidance.rs
+++ b/crates/concert/src/guidance.rs
@@ -12,7 +12,7 @@
 pub(crate) fn for_module(told: &fleet::Guidance, bases: &[usize], roster: &Roster) -> Guidance {
     let chance = |base: &usize| told.admit.get(*base).copied().map_or(1.0, share);
     let ids = |keys: &Vec<fleet::ServerKey>| keys.iter().filter_map(|key| roster.id(*key)).collect();
-    let lease = |(key, lease): (&fleet::ServerKey, &fleet::ColdLease)| {
+    let lease = |(key, lease): (&fleet::ServerKey, &fleet::SlowStartLease)| {
         Some((roster.id(*key)?, SlowStartLease { requests: lease.requests, until: lease.until as f64 }))
     };
     Guidance {
@@ -22,11 +22,11 @@
             bases.iter().map(chance).collect()
         },
         retry_budget: told.retries.map(allowance),
-        hedge_budget: told.copies.map(allowance),
-        load_poll_targets: told.probes.as_ref().map(ids),
-        ejection_probe_targets: told.trials.as_ref().map(ids),
-        slow_start_leases: told.cold.as_ref().map(|cold| cold.iter().filter_map(lease).collect()),
-        retry_after_slice: told.come_back.map(|slice| slice.map(share)),
+        hedge_budget: told.hedges.map(allowance),
+        load_poll_targets: told.load_polls.as_ref().map(ids),
+        ejection_probe_targets: told.ejection_probes.as_ref().map(ids),
+        slow_start_leases: told.slow_start.as_ref().map(|cold| cold.iter().filter_map(lease).collect()),
+        retry_after_slice: told.retry_after_range.map(|slice| slice.map(share)),
     }
 }
 
@@ -41,7 +41,7 @@
 }
 
 /// A report in the module's terms.
-pub(crate) fn report(told: fleet::Report) -> LoadReport {
+pub(crate) fn report(told: fleet::LoadReport) -> LoadReport {
     let figure = |figure: Option<f32>| figure.filter(|figure| figure.is_finite()).map(f64::from);
     LoadReport {
         in_flight: figure(told.in_flight),
@@ -52,9 +52,9 @@
 }
 
 /// A report in the fleet's terms.
-pub(crate) fn report_out(seen: LoadReport) -> fleet::Report {
+pub(crate) fn report_out(seen: LoadReport) -> fleet::LoadReport {
     let figure = |figure: Option<f64>| figure.filter(|figure| figure.is_finite()).map(|figure| figure as f32);
-    fleet::Report {
+    fleet::LoadReport {
         in_flight: figure(seen.in_flight),
         utilisation: figure(seen.utilisation),
         served_per_s: figure(seen.served_per_s),
@@ -72,18 +72,18 @@
     key: fleet::ServerKey,
     work: Millis,
     safety: &SlowStartRules,
-) -> fleet::Known {
+) -> fleet::KnownServer {
     let requests = SLOW_START_LEASE_SHARE
         * safety.overload_multiple
         * server.warm_fraction
         * server.capacity
         * safety.overload_window
         / work.max(1.0);
-    fleet::Known {
+    fleet::KnownServer {
         server: key,
         started: server.started_at.map(|started| started.max(0.0) as u64),
-        cold_requests: if requests.is_finite() { requests.max(0.0) } else { 0.0 },
-        cold_window: safety.overload_window.max(1.0) as u64,
+        slow_start_requests: if requests.is_finite() { requests.max(0.0) } else { 0.0 },
+        slow_start_window: safety.overload_window.max(1.0) as u64,
         ejected: server.ejected,
     }
 }
--- a/crates/node/src/engine/cluster.rs
+++ b/crates/node/src/engine/cluster.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use ::peers::api::{Asking, Entry as PeerEntry, Reach, Standing};
+use ::peers::api::{PollingRate, Reachability, ServerEntry as PeerEntry, ServerState};
 use ::peers::coordinator::Role;
 use ::residency::Rules;
 use concert::{Company, Input, Output, View};
@@ -56,10 +56,10 @@
                 ("level", peers.level),
                 ("coordinates", f64::from(u8::from(peers.role == Role::Coordinator))),
                 ("term", peers.term.number as f64),
-                ("words_refused", peers.refused_words as f64),
+                ("words_refused", peers.stale_rejected as f64),
                 ("datagrams_in", peers.datagrams_in as f64),
                 ("datagrams_out", peers.datagrams_out as f64),
-                ("datagrams_refused", (peers.refused_datagrams + losses.strangers) as f64),
+                ("datagrams_refused", (peers.dropped_datagrams + losses.strangers) as f64),
                 ("datagrams_lost", (losses.unheard + losses.unsent + losses.failed) as f64),
             ]);
         }
@@ -84,11 +84,11 @@
                 Role::Candidate => "stands",
                 Role::Coordinator => "coordinates",
             };
-            let (term, refused) = (peers.term.number, peers.refused_words);
+            let (term, refused) = (peers.term.number, peers.stale_rejected);
             parts.push(format!("fleet living={living}/{members} level={level:.2}"));
             parts.push(format!("role={role} term={term} words_refused={refused}"));
             parts.push(format!("datagrams in={} out={}", peers.datagrams_in, peers.datagrams_out));
-            parts.push(format!("refused={} strangers={strangers}", peers.refused_datagrams));
+            parts.push(format!("refused={} strangers={strangers}", peers.dropped_datagrams));
             parts.push(format!("unheard={unheard} unsent={unsent} failed={failed}"));
         }
         if let Some(generation) = view.generation {
@@ -180,9 +180,9 @@
                     self.set_timer(at, Timer::ClusterWake);
                 }
                 Output::Ask(asking) => self.set_discovery_pace(match asking {
-                    Asking::Usual => Pace::Usual,
-                    Asking::Often => Pace::Often,
-                    Asking::Seldom => Pace::Seldom,
+                    PollingRate::Normal => Pace::Usual,
+                    PollingRate::Frequent => Pace::Often,
+                    PollingRate::Infrequent => Pace::Seldom,
                 }),
                 Output::Note(note) => info!("fleet: {note}"),
             }
@@ -221,7 +221,7 @@
     }
 
     /// Notifies the cluster logic that discovery became reachable or unreachable.
-    pub(super) fn update_discovery_reach(&mut self, reach: Reach) {
+    pub(super) fn update_discovery_reach(&mut self, reach: Reachability) {
         self.notify_cluster(Input::Reach(reach));
     }
 
@@ -233,8 +233,9 @@
     /// Applies an entry that another member or the coordinator reported about a server known from a list. The
     /// entry takes effect like a list with a single change.
     fn apply_peer_entry(&mut self, peer_entry: PeerEntry) {
-        let PeerEntry { host, dial, zone, kind, cell, standing, weight, started_ms } = peer_entry.clone();
-        let serving = standing == Standing::Serving;
+        let PeerEntry { host, dial, zone, kind, cell, state: standing, weight, started_ms } =
+            peer_entry.clone();
+        let serving = standing == ServerState::Serving;
         let entry = Entry { host, dial, zone, kind, cell, serving, weight, started_ms };
         let basis = self.start_basis_from_peer(&entry);
         let listing = self.update_server(&entry, basis);
@@ -259,8 +260,8 @@
 /// Converts a list entry to the form that cluster members exchange.
 pub(super) fn to_peer_entry(entry: &Entry) -> PeerEntry {
     let Entry { host, dial, zone, kind, cell, serving, weight, started_ms } = entry.clone();
-    let standing = if serving { Standing::Serving } else { Standing::Draining };
-    PeerEntry { host, dial, zone, kind, cell, standing, weight, started_ms }
+    let standing = if serving { ServerState::Serving } else { ServerState::Draining };
+    PeerEntry { host, dial, zone, kind, cell, state: standing, weight, started_ms }
 }
 
 impl Server {
--- a/crates/node/src/engine/discovery_source.rs
+++ b/crates/node/src/engine/discovery_source.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-use ::peers::api::Reach;
+use ::peers::api::Reachability;
 use listclock::Pace;
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinHandle;
@@ -146,7 +146,7 @@
 
     /// Reports that discovery became reachable or unreachable. Does nothing if no cluster decides the polling
     /// rate, because nothing else needs the information.
-    pub fn reachability_changed(&self, reach: Reach) {
+    pub fn reachability_changed(&self, reach: Reachability) {
         if self.pace.is_some() {
             let _ = self.events.send(EngineEvent::DiscoveryReachability(reach));
         }
--- a/crates/node/src/engine/mod.rs
+++ b/crates/node/src/engine/mod.rs
@@ -30,7 +30,7 @@
 use std::sync::{Arc, Weak};
 use std::time::Duration;
 
-use ::peers::api::Reach;
+use ::peers::api::Reachability;
 use ::residency::Rules;
 use anyhow::{Context, Result};
 use routes::Table;
@@ -99,7 +99,7 @@
     /// Datagrams from other cluster members are waiting in the mailbox.
     DatagramsReceived,
     /// Discovery became reachable or unreachable.
-    DiscoveryReachability(Reach),
+    DiscoveryReachability(Reachability),
     /// New residency rules replace the current ones.
     RulesChanged(Option<Rules>),
 }
--- a/crates/peers/tests/fleet/hostile.rs
+++ b/crates/peers/tests/fleet/hostile.rs
@@ -2,7 +2,7 @@
 
 use peers::api::{Fact, FactKind, Input, MemberId, Output};
 use peers::facts::{Facts, OWNED, Stamped};
-use peers::wire::{self, Head, Kind, Outbox};
+use peers::wire::{self, DatagramHeader, Outbox, PartKind};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
@@ -19,78 +19,58 @@
         cluster.run(50);
     }
     cluster.run(3_000);
-    let fact = Fact { kind: FactKind::RULES, key: u64::MAX, body: vec![1] };
+    let fact = Fact { kind: FactKind::RESIDENCY_RULES, key: u64::MAX, body: vec![1] };
     cluster.handle(0, Input::Publish(fact));
-    let received_fact =
-        |o: &Output| matches!(o, Output::Heard { owner: MemberId(0), fact } if fact.key == u64::MAX);
+    let received_fact = |o: &Output| matches ! ( o , Output :: FactReceived { owner : MemberId ( 0 ) , fact } if fact . key == u64 :: MAX );
     cluster.run_until(10_000, |cluster| cluster.outputs[2].iter().any(received_fact)).is_some()
 }
 
-proptest! {
-    #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, ..ProptestConfig::default() })]
+proptest! { # ! [ proptest_config ( ProptestConfig { cases : 64 , failure_persistence : None , .. ProptestConfig :: default ( ) } ) ]
 
-    #[test]
-    fn arbitrary_datagrams_are_harmless(datagrams in vec(vec(any::<u8>(), 0..300), 1..8)) {
-        prop_assert!(works_after(&datagrams));
-    }
+# [ test ] fn arbitrary_datagrams_are_harmless ( datagrams in vec ( vec ( any :: < u8 > ( ) , 0 .. 300 ) , 1 .. 8 ) ) { prop_assert ! ( works_after ( & datagrams ) ) ; }
 
-    #[test]
-    fn arbitrary_parts_after_a_valid_head_are_harmless(
-        parts in vec((0_u8..12, vec(any::<u8>(), 0..240)), 1..20),
-        incarnation in 0_u64..1 << 54,
-    ) {
-        let head = Head::new(wire::digest(&config(3, 0)), MemberId(1), incarnation);
-        let datagrams: Vec<Vec<u8>> = parts.iter().map(|part| {
-            let mut bytes = postcard::to_allocvec(&head).expect("the value can be encoded");
-            bytes.extend(postcard::to_allocvec(part).expect("the value can be encoded"));
-            bytes
-        }).collect();
-        prop_assert!(works_after(&datagrams));
-    }
+# [ test ] fn arbitrary_parts_after_a_valid_head_are_harmless ( parts in vec ( ( 0_u8 .. 12 , vec ( any :: < u8 > ( ) , 0 .. 240 ) ) , 1 .. 20 ) , incarnation in 0_u64 .. 1 << 54 , ) { let head = DatagramHeader :: new ( wire :: config_digest ( & config ( 3 , 0 ) ) , MemberId ( 1 ) , incarnation ) ; let datagrams : Vec < Vec < u8 >> = parts . iter ( ) . map ( | part | { let mut bytes = postcard :: to_allocvec ( & head ) . expect ( "the value can be encoded" ) ; bytes . extend ( postcard :: to_allocvec ( part ) . expect ( "the value can be encoded" ) ) ; bytes } ) . collect ( ) ; prop_assert ! ( works_after ( & datagrams ) ) ; }
 
-    #[test]
-    fn flipped_bits_are_harmless(flips in vec((any::<prop::sample::Index>(), 0_u8..8), 1..6), seed in 0_u64..50) {
-        let mut cluster = Cluster::new(3, seed);
-        cluster.run(1_500);
-        let mut datagrams = cluster.last_sent_by(1);
-        for bytes in &mut datagrams {
-            for (position, bit) in &flips {
-                let position = position.index(bytes.len());
-                bytes[position] ^= 1 << bit;
-            }
-        }
-        prop_assert!(works_after(&datagrams));
-    }
-}
+# [ test ] fn flipped_bits_are_harmless ( flips in vec ( ( any :: < prop :: sample :: Index > ( ) , 0_u8 .. 8 ) , 1 .. 6 ) , seed in 0_u64 .. 50 ) { let mut cluster = Cluster :: new ( 3 , seed ) ; cluster . run ( 1_500 ) ; let mut datagrams = cluster . last_sent_by ( 1 ) ; for bytes in & mut datagrams { for ( position , bit ) in & flips { let position = position . index ( bytes . len ( ) ) ; bytes [ position ] ^= 1 << bit ; } } prop_assert ! ( works_after ( & datagrams ) ) ; } }
 
 #[test]
 fn foreign_datagrams_are_counted_and_dropped() {
     let mut cluster = Cluster::new(3, 1);
     cluster.run(1_000);
-    let refused_count = |cluster: &Cluster| cluster.peers[0].as_ref().map(|p| p.view().refused_datagrams);
+    let refused_count = |cluster: &Cluster| cluster.peers[0].as_ref().map(|p| p.stats().dropped_datagrams);
     let (ours, mut other_zone) = (config(3, 0), config(3, 0));
     other_zone.members[2].zone = "z2".into();
     let mut other_address = ours.clone();
     other_address.members[2].address = config(9, 0).members[8].address;
-    assert_eq!(wire::digest(&ours), wire::digest(&other_address), "the digest does not cover addresses");
+    assert_eq!(
+        wire::config_digest(&ours),
+        wire::config_digest(&other_address),
+        "the digest does not cover addresses"
+    );
     let send = |cluster: &mut Cluster, digest, from: usize, part: &[u8]| {
-        let mut outbox = Outbox::new(Head::new(digest, MemberId(1), 1 << 50));
-        outbox.push(MemberId(0), Kind::FACTS, part);
+        let mut outbox = Outbox::new(DatagramHeader::new(digest, MemberId(1), 1 << 50));
+        outbox.push(MemberId(0), PartKind::FACTS, part);
         let before = refused_count(cluster);
         for (_, bytes) in outbox.drain() {
             cluster.handle(0, Input::Datagram { from: ours.members[from].address, bytes: &bytes });
         }
         refused_count(cluster) > before
     };
-    assert!(send(&mut cluster, wire::digest(&other_zone), 1, &[]), "the sender has other members configured");
-    assert!(send(&mut cluster, wire::digest(&ours), 2, &[]), "it comes from the address of another member");
-    assert!(send(&mut cluster, wire::digest(&ours), 1, &[1, 2, 3]), "the facts are malformed");
-    assert!(!send(&mut cluster, wire::digest(&ours), 1, &[]));
+    assert!(
+        send(&mut cluster, wire::config_digest(&other_zone), 1, &[]),
+        "the sender has other members configured"
+    );
+    assert!(
+        send(&mut cluster, wire::config_digest(&ours), 2, &[]),
+        "it comes from the address of another member"
+    );
+    assert!(send(&mut cluster, wire::config_digest(&ours), 1, &[1, 2, 3]), "the facts are malformed");
+    assert!(!send(&mut cluster, wire::config_digest(&ours), 1, &[]));
 }
 
 /// A `RULES` fact of member 1, as another member sends it, with an age of 10 ms.
 fn stamped_fact(incarnation: u64, version: u32, key: u64, body: &[u8]) -> Stamped {
-    let fact = Fact { kind: FactKind::RULES, key, body: body.to_vec() };
+    let fact = Fact { kind: FactKind::RESIDENCY_RULES, key, body: body.to_vec() };
     Stamped { owner: MemberId(1), incarnation, version, age: 10, fact }
 }
 
@@ -101,7 +81,7 @@
     let mut facts = Facts::new(&config(5, 0), 1_000, 1, 1);
     let value_after = |facts: &mut Facts, stamped| {
         facts.take(1_000, stamped);
-        facts.get(1_000, MemberId(1), FactKind::RULES, 1).map(|(body, age)| (body.to_vec(), age))
+        facts.get(1_000, MemberId(1), FactKind::RESIDENCY_RULES, 1).map(|(body, age)| (body.to_vec(), age))
     };
     assert_eq!(value_after(&mut facts, stamped_fact(5, 7, 1, b"b")), Some((b"b".to_vec(), 10)));
     assert_eq!(value_after(&mut facts, stamped_fact(5, 6, 1, b"a")), Some((b"b".to_vec(), 10)));
@@ -134,7 +114,7 @@
     let mut facts = Facts::new(&config(5, 0), 1_000, 1, 1);
     (0..1_000).for_each(|key| facts.take(1_000, stamped_fact(1, 1 + key as u32, key, b"x")));
     assert_eq!((facts.len(), facts.refused()), (OWNED, 1_000 - OWNED as u64));
-    let own_fact = |key| Fact { kind: FactKind::RULES, key, body: vec![1] };
+    let own_fact = |key| Fact { kind: FactKind::RESIDENCY_RULES, key, body: vec![1] };
     assert_eq!((0..1_000).filter(|key| facts.put(1_000, own_fact(*key))).count(), OWNED);
     let invalid = [
         stamped_fact(1 << 60, 1, 1, b"x"),
--- a/crates/peers/tests/fleet/incarnation.rs
+++ b/crates/peers/tests/fleet/incarnation.rs
@@ -2,7 +2,7 @@
 //! when its wall clock was set back between two starts.
 
 use peers::api::{Input, MemberId};
-use peers::wire::{self, HIGHEST_INCARNATION, Head, Kind, Outbox};
+use peers::wire::{self, DatagramHeader, MAX_INCARNATION, Outbox, PartKind};
 
 use crate::all_members_alive;
 use crate::simulation::{Cluster, config};
@@ -40,11 +40,12 @@
 /// A datagram in which the member `from` tells the member `to` that it knows a later start of `to`, with
 /// the incarnation `claimed`.
 fn outdated_datagram(from: u16, to: u16, claimed: u64) -> Vec<u8> {
-    let head = Head::new(wire::digest(&config(5, 0)), MemberId(from), 1_700_000_000_000 + 1_000);
+    let head =
+        DatagramHeader::new(wire::config_digest(&config(5, 0)), MemberId(from), 1_700_000_000_000 + 1_000);
     let mut outbox = Outbox::new(head);
     outbox.push(
         MemberId(to),
-        Kind::OUTDATED,
+        PartKind::STALE_INCARNATION,
         &postcard::to_allocvec(&claimed).expect("the value can be encoded"),
     );
     outbox.drain().next().expect("the outbox holds a datagram").1
@@ -59,7 +60,7 @@
     let mut cluster = Cluster::new(5, 22);
     cluster.run_until(20_000, all_members_alive).expect("all members see each other alive");
     let before = incarnation(&cluster, 2);
-    for claimed in [HIGHEST_INCARNATION, HIGHEST_INCARNATION - 1, 1 << 45] {
+    for claimed in [MAX_INCARNATION, MAX_INCARNATION - 1, 1 << 45] {
         let from = config(5, 0).members[1].address;
         cluster.handle(2, Input::Datagram { from, bytes: &outdated_datagram(1, 2, claimed) });
     }
--- a/crates/peers/tests/fleet/main.rs
+++ b/crates/peers/tests/fleet/main.rs
@@ -6,13 +6,13 @@
 mod integration;
 mod simulation;
 
-use peers::api::{Fact, FactKind, Input, MemberId, Millis, Output, Reach};
-use peers::membership::{Membership, Standing};
+use peers::api::{Fact, FactKind, Input, MemberId, Millis, Output, Reachability};
+use peers::membership::{MemberState, Membership};
 use simulation::{Cluster, config};
 
 /// An input that makes a member publish a `RULES` fact. An empty body withdraws the fact.
 fn publish_rules(key: u64, body: &[u8]) -> Input<'static> {
-    Input::Publish(Fact { kind: FactKind::RULES, key, body: body.to_vec() })
+    Input::Publish(Fact { kind: FactKind::RESIDENCY_RULES, key, body: body.to_vec() })
 }
 
 /// Whether every running member sees all configured members alive.
@@ -59,7 +59,7 @@
         cluster.loss = loss;
         cluster.run_until(20_000, all_members_alive).expect("all members see each other alive");
         cluster.stop(7);
-        let sees_it_gone = |p: &peers::Peer| p.membership().standing(MemberId(7)) == Standing::Gone;
+        let sees_it_gone = |p: &peers::Peer| p.membership().state(MemberId(7)) == MemberState::Gone;
         let took = cluster
             .run_until(20_000, |cluster| cluster.peers.iter().flatten().all(sees_it_gone))
             .expect("all members detect it");
@@ -78,8 +78,9 @@
     cluster.run(3_000);
     let rules_held = |cluster: &Cluster| {
         let now = cluster.now;
-        let rules_of =
-            |p: &peers::Peer| p.facts().get(now, MemberId(3), FactKind::RULES, 1).map(|f| f.0.to_vec());
+        let rules_of = |p: &peers::Peer| {
+            p.facts().get(now, MemberId(3), FactKind::RESIDENCY_RULES, 1).map(|f| f.0.to_vec())
+        };
         cluster.peers.iter().flatten().map(rules_of).collect::<Vec<_>>()
     };
     assert!(rules_held(&cluster).iter().all(|body| body.as_deref() == Some(b"former")));
@@ -100,7 +101,7 @@
     }
     cluster.run(1_000);
     assert!(rules_held(&cluster).iter().all(Option::is_none), "{:?}", rules_held(&cluster));
-    assert!(cluster.peers[5].as_ref().is_some_and(|p| p.view().refused_datagrams > 0));
+    assert!(cluster.peers[5].as_ref().is_some_and(|p| p.stats().dropped_datagrams > 0));
     assert!(all_members_alive(&cluster));
 }
 
@@ -119,7 +120,11 @@
         all_members_alive(cluster) && cluster.peers[2].as_ref().map(|p| p.incarnation()) > previous
     };
     assert!(cluster.run_until(10_000, rejoined).is_some());
-    assert!(cluster.outputs[2].iter().any(|o| matches!(o, Output::Note(note) if note.contains("clock"))));
+    assert!(
+        cluster.outputs[2]
+            .iter()
+            .any(|o| matches ! ( o , Output :: Log ( note ) if note . contains ( "clock" ) ))
+    );
 }
 
 #[test]
@@ -130,7 +135,8 @@
     cluster.handle(11, publish_rules(5, b"rule"));
     let members_reached = |cluster: &Cluster| {
         let now = cluster.now;
-        let has_fact = |p: &peers::Peer| p.facts().get(now, MemberId(11), FactKind::RULES, 5).is_some();
+        let has_fact =
+            |p: &peers::Peer| p.facts().get(now, MemberId(11), FactKind::RESIDENCY_RULES, 5).is_some();
         cluster.peers.iter().flatten().filter(|p| has_fact(p)).count()
     };
     let took = cluster
@@ -161,7 +167,7 @@
     }
     cluster.run(10_000);
     let rules_held = |cluster: &Cluster, member: usize| {
-        cluster.peers[member].as_ref().map(|p| p.facts().of(cluster.now, FactKind::RULES).count())
+        cluster.peers[member].as_ref().map(|p| p.facts().of(cluster.now, FactKind::RESIDENCY_RULES).count())
     };
     let complete = |member: usize| move |cluster: &Cluster| rules_held(cluster, member) == Some(200);
     assert!((0..20).all(|member| rules_held(&cluster, member) == Some(if member == 4 { 10 } else { 190 })));
@@ -185,11 +191,13 @@
 fn discovery_reachability_reaches_other_members() {
     let mut cluster = Cluster::new(3, 8);
     cluster.run_until(20_000, all_members_alive).expect("all members see each other alive");
-    cluster.handle(0, Input::Discovery(Reach::Down));
+    cluster.handle(0, Input::Discovery(Reachability::Down));
     cluster.run(1_000);
-    let expected = postcard::to_allocvec(&Reach::Down).expect("the value can be encoded");
+    let expected = postcard::to_allocvec(&Reachability::Down).expect("the value can be encoded");
     let reach_seen_by = |m: usize| {
-        cluster.peers[m].as_ref().and_then(|p| p.facts().get(cluster.now, MemberId(0), FactKind::REACH, 0))
+        cluster.peers[m]
+            .as_ref()
+            .and_then(|p| p.facts().get(cluster.now, MemberId(0), FactKind::REACHABILITY, 0))
     };
     assert!(
         reach_seen_by(1).is_some_and(|(body, _)| body == expected)
@@ -204,7 +212,7 @@
     let mut cluster = Cluster::new(count, 9);
     for member in 0..count {
         cluster.handle(member, publish_rules(1, &[1; 60]));
-        cluster.handle(member, Input::Discovery(Reach::Up));
+        cluster.handle(member, Input::Discovery(Reachability::Up));
     }
     let publish_load = |cluster: &mut Cluster, periods: Millis| {
         for n in 0..periods {
@@ -217,7 +225,7 @@
     };
     publish_load(&mut cluster, 75);
     let sent = |cluster: &Cluster| {
-        let views = cluster.peers.iter().flatten().map(|p| p.view());
+        let views = cluster.peers.iter().flatten().map(|p| p.stats());
         views.fold((0, 0), |sum, view| (sum.0 + view.datagrams_out, sum.1 + view.bytes_out))
     };
     let before = sent(&cluster);
@@ -242,11 +250,11 @@
     cluster.run_until(20_000, all_members_alive).expect("all members see each other alive");
     cluster.pause(6, 10_000);
     cluster.run(10_000);
-    assert!((0..10).all(|m| m == 6 || cluster.peers[m].as_ref().is_some_and(|p| p.view().living == 9)));
-    let fewest_alive = |cluster: &Cluster| cluster.peers.iter().flatten().map(|p| p.view().living).min();
+    assert!((0..10).all(|m| m == 6 || cluster.peers[m].as_ref().is_some_and(|p| p.stats().living == 9)));
+    let fewest_alive = |cluster: &Cluster| cluster.peers.iter().flatten().map(|p| p.stats().living).min();
     let mut lowest = 10;
     let took = cluster.run_until(5_000, |cluster| {
-        lowest = lowest.min(cluster.peers[6].as_ref().map_or(0, |p| p.view().living));
+        lowest = lowest.min(cluster.peers[6].as_ref().map_or(0, |p| p.stats().living));
         fewest_alive(cluster) == Some(10)
     });
     assert!(
--- a/crates/peers/tests/sum_of_leases.rs
+++ b/crates/peers/tests/sum_of_leases.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 
 use peers::api::{Budgets, Config, Member, MemberId, Millis, RegionId, Timing};
-use peers::leases::{Bound, Ledger};
-use peers::wire::{self, Head, Kind, Outbox};
+use peers::leases::{LeaseTable, SharedLimit};
+use peers::wire::{self, DatagramHeader, Outbox, PartKind};
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -28,14 +28,14 @@
         regions: vec!["west".into()],
         classes: Vec::new(),
         class_floor: 0.05,
-        budgets: Budgets { retries: 0.1, copies: 0.1 },
+        budgets: Budgets { retries: 0.1, hedges: 0.1 },
         timing: Timing::default(),
     }
 }
 
 /// A process of a member and its clock, which shows `offset + rate * t` at the real time t in milliseconds.
 struct Process {
-    ledger: Ledger,
+    ledger: LeaseTable,
     incarnation: u64,
     offset: f64,
     /// How fast the clock runs compared with real time.
@@ -97,14 +97,14 @@
 fn simulate(conditions: &Conditions, max_drift: f64) -> Grants {
     let mut rng = Pcg64Mcg::seed_from_u64(conditions.seed);
     let count = conditions.members;
-    let bound = Bound { thing: SERVER, total: conditions.total, window: conditions.window };
+    let bound = SharedLimit { resource: SERVER, total: conditions.total, window: conditions.window };
     let all_members: Vec<MemberId> = (0..count).map(|m| MemberId(m as u16)).collect();
-    let digest = wire::digest(&config(count, 0));
+    let digest = wire::config_digest(&config(count, 0));
     let start = |member: usize, real_ms: f64, incarnation: u64, rng: &mut Pcg64Mcg| {
         let rate = [1.0 - max_drift, 1.0, 1.0 + max_drift][rng.random_range(0..3)];
         let offset = rng.random_range(5_000.0..90_000.0) - rate * real_ms;
         let now = (offset + rate * real_ms) as Millis;
-        let ledger = Ledger::new(&config(count, member), now, incarnation, rng.random());
+        let ledger = LeaseTable::new(&config(count, member), now, incarnation, rng.random());
         Process { ledger, incarnation, offset, rate, next_period: real_ms + rng.random_range(0.0..200.0) }
     };
     let mut processes: Vec<Process> = (0..count).map(|m| start(m, 0.0, 1, &mut rng)).collect();
@@ -120,24 +120,24 @@
             }
             let process = &mut processes[member];
             let now = (process.offset + process.rate * real_ms) as Millis;
-            let head = Head::new(digest, MemberId(member as u16), process.incarnation);
+            let head = DatagramHeader::new(digest, MemberId(member as u16), process.incarnation);
             let mut out = Outbox::new(head);
             if real_ms >= process.next_period {
                 process.next_period = real_ms + 200.0 / process.rate;
-                process.ledger.bounds(now, [bound]);
+                process.ledger.set_limits(now, [bound]);
                 if let Some(lease) = process.ledger.grant(now, SERVER, 300) {
                     let until = (lease.until as f64 - process.offset) / process.rate;
                     grants.push((real_ms, until, lease.requests));
                 }
-                process.ledger.every_period(now, &all_members, &mut out);
+                process.ledger.on_period(now, &all_members, &mut out);
             }
             let not_due = in_flight[member].split_off(&(step + 1, 0));
             for (from, bytes) in std::mem::replace(&mut in_flight[member], not_due).into_values() {
-                let (head, parts) = wire::read(&bytes, digest).expect("the datagram is well-formed");
+                let (head, parts) = wire::decode(&bytes, digest).expect("the datagram is well-formed");
                 for (kind, part) in parts {
-                    assert_eq!(kind, Kind::LEASE);
+                    assert_eq!(kind, PartKind::LEASE);
                     let from = MemberId(from as u16);
-                    assert!(process.ledger.heard(now, from, head.incarnation, part, &mut out));
+                    assert!(process.ledger.handle_message(now, from, head.incarnation, part, &mut out));
                 }
             }
             for (to, bytes) in out.drain() {
@@ -168,26 +168,12 @@
     edges.map(|at| u32::max(granted_in_window(at), granted_in_window(at - window))).max().unwrap_or(0)
 }
 
-proptest! {
-    #![proptest_config(ProptestConfig { cases: 48, failure_persistence: None, ..ProptestConfig::default() })]
+proptest! { # ! [ proptest_config ( ProptestConfig { cases : 48 , failure_persistence : None , .. ProptestConfig :: default ( ) } ) ]
 
-    #[test]
-    fn grants_in_any_window_stay_within_the_bound(conditions in conditions()) {
-        let grants = simulate(&conditions, Timing::default().drift);
-        let max = max_in_any_window(&grants, conditions.window as f64);
-        prop_assert!(max <= conditions.total, "{max} of {}", conditions.total);
-    }
+# [ test ] fn grants_in_any_window_stay_within_the_bound ( conditions in conditions ( ) ) { let grants = simulate ( & conditions , Timing :: default ( ) . drift ) ; let max = max_in_any_window ( & grants , conditions . window as f64 ) ; prop_assert ! ( max <= conditions . total , "{max} of {}" , conditions . total ) ; }
 
-    /// The shares of the members add up to the bound, and no share shrinks when the bound grows.
-    #[test]
-    fn rights_sum_to_the_bound_and_only_grow_with_it(count in 1_usize..40, total in 0_u32..200, thing in any::<u64>()) {
-        let ledger = Ledger::new(&config(count, 0), 0, 1, 1);
-        let ledger = &ledger;
-        let rights = |total| (0..count).map(move |m| ledger.right(thing, total, MemberId(m as u16)));
-        prop_assert_eq!(rights(total).sum::<u32>(), total);
-        prop_assert!(rights(total).zip(rights(total + 1)).all(|(smaller, larger)| smaller <= larger));
-    }
-}
+/// The shares of the members add up to the bound, and no share shrinks when the bound grows.
+# [ test ] fn rights_sum_to_the_bound_and_only_grow_with_it ( count in 1_usize .. 40 , total in 0_u32 .. 200 , thing in any :: < u64 > ( ) ) { let ledger = LeaseTable :: new ( & config ( count , 0 ) , 0 , 1 , 1 ) ; let ledger = & ledger ; let rights = | total | ( 0 .. count ) . map ( move | m | ledger . quota ( thing , total , MemberId ( m as u16 ) ) ) ; prop_assert_eq ! ( rights ( total ) . sum :: < u32 > ( ) , total ) ; prop_assert ! ( rights ( total ) . zip ( rights ( total + 1 ) ) . all ( | ( smaller , larger ) | smaller <= larger ) ) ; } }
 
 /// Conditions without loss, duplicates, restarts and partitions.
 fn fault_free() -> Conditions {
@@ -232,22 +218,22 @@
 #[test]
 fn a_loan_to_a_previous_process_is_not_accepted_by_its_successor() {
     // The lender is entitled to the whole bound. It answers the request of a borrower with a loan.
-    let digest = wire::digest(&config(2, 0));
+    let digest = wire::config_digest(&config(2, 0));
     let all_members = [MemberId(0), MemberId(1)];
-    let ledger = Ledger::new(&config(2, 0), 0, 1, 1);
+    let ledger = LeaseTable::new(&config(2, 0), 0, 1, 1);
     let thing = (0..)
-        .find(|thing| ledger.right(*thing, 1, MemberId(0)) == 1)
+        .find(|thing| ledger.quota(*thing, 1, MemberId(0)) == 1)
         .expect("a server of which member 0 holds the whole bound");
-    let bound = Bound { thing, total: 1, window: 1_000 };
+    let bound = SharedLimit { resource: thing, total: 1, window: 1_000 };
     let process = |member, now, incarnation| {
-        let mut ledger = Ledger::new(&config(2, member), now, incarnation, 1);
-        ledger.bounds(now, [bound]);
+        let mut ledger = LeaseTable::new(&config(2, member), now, incarnation, 1);
+        ledger.set_limits(now, [bound]);
         ledger
     };
     let parts = |mut out: Outbox| -> Vec<Vec<u8>> {
         let datagrams = out.drain().map(|(_, bytes)| bytes);
         let parts_of = |bytes: Vec<u8>| {
-            wire::read(&bytes, digest)
+            wire::decode(&bytes, digest)
                 .expect("the datagram is well-formed")
                 .1
                 .iter()
@@ -256,16 +242,18 @@
         };
         datagrams.flat_map(parts_of).collect()
     };
-    let request_loans = |ledger: &mut Ledger, now, incarnation| {
-        let mut out = Outbox::new(Head::new(digest, MemberId(1), incarnation));
-        ledger.every_period(now, &all_members, &mut out);
+    let request_loans = |ledger: &mut LeaseTable, now, incarnation| {
+        let mut out = Outbox::new(DatagramHeader::new(digest, MemberId(1), incarnation));
+        ledger.on_period(now, &all_members, &mut out);
         parts(out)
     };
     let (now, previous, restarted) = (100_000, 1_700_000_000_000, 1_700_000_000_500);
     let mut lender = process(0, 0, 1);
     let requests = request_loans(&mut process(1, now, previous), now, previous);
-    let mut out = Outbox::new(Head::new(digest, MemberId(0), 1));
-    requests.iter().for_each(|part| assert!(lender.heard(now, MemberId(1), previous, part, &mut out)));
+    let mut out = Outbox::new(DatagramHeader::new(digest, MemberId(0), 1));
+    requests
+        .iter()
+        .for_each(|part| assert!(lender.handle_message(now, MemberId(1), previous, part, &mut out)));
     let loans = parts(out);
     assert!(!loans.is_empty(), "the lender grants a loan");
     // The borrower restarts and asks again before the answer arrives. The answer must not give it any
@@ -273,8 +261,10 @@
     for incarnation in [restarted, previous + 1] {
         let mut borrower = process(1, now + 500, incarnation);
         request_loans(&mut borrower, now + 500, incarnation);
-        let mut out = Outbox::new(Head::new(digest, MemberId(1), incarnation));
-        loans.iter().for_each(|part| assert!(borrower.heard(now + 501, MemberId(0), 1, part, &mut out)));
+        let mut out = Outbox::new(DatagramHeader::new(digest, MemberId(1), incarnation));
+        loans
+            .iter()
+            .for_each(|part| assert!(borrower.handle_message(now + 501, MemberId(0), 1, part, &mut out)));
         let lease = borrower.grant(now + 502, thing, 300).expect("the server is shared");
         assert_eq!(lease.requests, 0, "with incarnation {incarnation}");
     }
