--- a/crates/node/src/socket/failures.rs
+++ b/crates/node/src/socket/failures.rs
@@ -12,25 +12,25 @@
 
 /// Counts of failures by kind.
 #[derive(Debug, Default)]
-pub struct Failures {
-    kinds: Mutex<BTreeMap<Kind, Count>>,
+pub struct CallFailures {
+    counts: Mutex<BTreeMap<FailureKind, FailureCount>>,
 }
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Kind {
+struct FailureKind {
     call: &'static str,
     errno: Option<i32>,
 }
 
 #[derive(Debug)]
-struct Count {
+struct FailureCount {
     total: u64,
-    logged_at: Instant,
+    last_logged_at: Instant,
 }
 
-impl Failures {
+impl CallFailures {
     /// Counts a failure, and logs it if its kind was not logged within the last second.
-    pub fn note(&self, call: &'static str, error: &io::Error) {
+    pub fn record(&self, call: &'static str, error: &io::Error) {
         if let Some(total) = self.count(call, error, Instant::now()) {
             log::line(format!("system_call_failed call={call} total={total} error=\"{error}\""));
         }
@@ -38,17 +38,17 @@
 
     /// Counts a failure. Tells how many of its kind there were, if that is to be logged.
     pub(super) fn count(&self, call: &'static str, error: &io::Error, now: Instant) -> Option<u64> {
-        let mut kinds = self.kinds.lock().unwrap_or_else(PoisonError::into_inner);
-        let kind = Kind { call, errno: error.raw_os_error() };
-        let Some(count) = kinds.get_mut(&kind) else {
-            kinds.insert(kind, Count { total: 1, logged_at: now });
+        let mut counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
+        let kind = FailureKind { call, errno: error.raw_os_error() };
+        let Some(count) = counts.get_mut(&kind) else {
+            counts.insert(kind, FailureCount { total: 1, last_logged_at: now });
             return Some(1);
         };
         count.total += 1;
-        if now.saturating_duration_since(count.logged_at) < LOG_INTERVAL {
+        if now.saturating_duration_since(count.last_logged_at) < LOG_INTERVAL {
             return None;
         }
-        count.logged_at = now;
+        count.last_logged_at = now;
         Some(count.total)
     }
 }
--- a/crates/node/src/socket/listener.rs
+++ b/crates/node/src/socket/listener.rs
@@ -10,7 +10,7 @@
 use tokio::task::yield_now;
 use tokio::time::sleep;
 
-use super::failures::Failures;
+use super::failures::CallFailures;
 use super::registered::{Registered, uninterrupted};
 use super::{Stream, SystemCalls};
 
@@ -18,14 +18,14 @@
 const BACKLOG: i32 = 4096;
 /// The wait after an accept for which something was missing here: short, because all new connections wait with it, and
 /// long enough to cost next to nothing while descriptors are lacking for longer.
-const PAUSE: Duration = Duration::from_millis(2);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(2);
 
 /// A socket that accepts connections.
 #[derive(Debug)]
 pub struct Listener {
     socket: Registered,
     calls: Arc<dyn SystemCalls>,
-    failures: Failures,
+    failures: CallFailures,
 }
 
 impl Listener {
@@ -36,7 +36,7 @@
         socket.bind(&address.into())?;
         socket.listen(BACKLOG)?;
         let socket = Registered::new(socket)?;
-        Ok(Listener { socket, calls, failures: Failures::default() })
+        Ok(Listener { socket, calls, failures: CallFailures::default() })
     }
 
     /// Where it listens.
@@ -51,8 +51,12 @@
             match self.accept_one().await {
                 Ok(accepted) => return accepted,
                 Err(error) => {
-                    self.failures.note("accept", &error);
-                    if is_of_one_connection(&error) { yield_now().await } else { sleep(PAUSE).await }
+                    self.failures.record("accept", &error);
+                    if is_connection_error(&error) {
+                        yield_now().await
+                    } else {
+                        sleep(ACCEPT_RETRY_DELAY).await
+                    }
                 }
             }
         }
@@ -75,8 +79,8 @@
 
 /// Whether an error of accept(2) is that of one connection, which died while it waited and is gone now. Linux passes
 /// on the network errors of the new connection; they say nothing about the next.
-fn is_of_one_connection(error: &io::Error) -> bool {
-    const OF_ONE_CONNECTION: [i32; 12] = [
+fn is_connection_error(error: &io::Error) -> bool {
+    const CONNECTION_ERRORS: [i32; 12] = [
         libc::ECONNABORTED,
         libc::EPROTO,
         libc::EPERM,
@@ -90,5 +94,5 @@
         libc::ECONNRESET,
         libc::ETIMEDOUT,
     ];
-    error.raw_os_error().is_some_and(|code| OF_ONE_CONNECTION.contains(&code))
+    error.raw_os_error().is_some_and(|code| CONNECTION_ERRORS.contains(&code))
 }
--- a/crates/node/src/socket/memory.rs
+++ b/crates/node/src/socket/memory.rs
@@ -15,8 +15,11 @@
 }
 
 /// Has a call polled again in a moment if it lacked memory, of which no event tells.
-pub fn poll_again_if_lacking<T>(context: &Context<'_>, call: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
-    match call {
+pub fn wake_later_if_out_of_memory<T>(
+    context: &Context<'_>,
+    result: Poll<io::Result<T>>,
+) -> Poll<io::Result<T>> {
+    match result {
         Poll::Ready(Err(error)) if lacks_memory(&error) => {
             let waker = context.waker().clone();
             tokio::spawn(async move {
@@ -25,6 +28,6 @@
             });
             Poll::Pending
         }
-        call => call,
+        result => result,
     }
 }
--- a/crates/node/src/socket/stream.rs
+++ b/crates/node/src/socket/stream.rs
@@ -11,11 +11,11 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 
 use super::SystemCalls;
-use super::memory::poll_again_if_lacking;
+use super::memory::wake_later_if_out_of_memory;
 use super::registered::{Registered, uninterrupted};
 
 /// More buffers than this are an error to sendmsg(2); the rest is for the next write.
-const MAX_SLICES: usize = 1024;
+const MAX_IO_SLICES: usize = 1024;
 
 /// What has happened on a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -97,14 +97,14 @@
     /// Reads, and waits until there is something to read.
     pub fn poll_receive(&self, context: &mut Context<'_>, buffer: &mut [u8]) -> Poll<io::Result<usize>> {
         let read = self.socket.poll_read_call(context, |socket| self.calls.receive(socket, buffer));
-        poll_again_if_lacking(context, read)
+        wake_later_if_out_of_memory(context, read)
     }
 
     /// Writes as much as the kernel takes, and waits until it takes something.
     pub fn poll_send(&self, context: &mut Context<'_>, slices: &[IoSlice<'_>]) -> Poll<io::Result<usize>> {
-        let slices = slices.chunks(MAX_SLICES).next().unwrap_or_default();
+        let slices = slices.chunks(MAX_IO_SLICES).next().unwrap_or_default();
         let written = self.socket.poll_write_call(context, |socket| self.calls.send(socket, slices));
-        poll_again_if_lacking(context, written)
+        wake_later_if_out_of_memory(context, written)
     }
 
     /// Reads into what is left of a buffer.
--- a/crates/node/src/socket/tests/listener.rs
+++ b/crates/node/src/socket/tests/listener.rs
@@ -7,23 +7,23 @@
 
 use super::*;
 use crate::socket::Listener;
-use crate::socket::failures::Failures;
+use crate::socket::failures::CallFailures;
 
 /// Accepts a connection that waits, with these errors before it.
-async fn accept_after(codes: &[i32]) {
+async fn accept_after_errors(codes: &[i32]) {
     let script: Vec<_> = codes.iter().map(|code| (Call::Accept, Fault::Fails(*code))).collect();
-    let calls = Scripted::new(&script);
+    let calls = ScriptedCalls::new(&script);
     let address = "127.0.0.1:0".parse().expect("an address");
     let listener = Listener::bind(calls.clone(), address).expect("a listener");
     let client = TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
     let (_stream, peer) = listener.accept().await;
     assert_eq!(peer, client.local_addr().expect("an address"));
-    assert_eq!(calls.left(), 0, "faults were met");
+    assert_eq!(calls.remaining(), 0, "faults were met");
 }
 
 /// Guards against a pause that all pay for one connection that died while it waited.
 #[test]
-fn a_connection_that_died_while_it_waited_costs_the_next_nothing() {
+fn an_aborted_connection_does_not_delay_the_next() {
     // Without a timer a pause is a panic.
     let runtime = Builder::new_current_thread().enable_io().build().expect("a runtime");
     let codes = [
@@ -39,25 +39,25 @@
         libc::EOPNOTSUPP,
         libc::ENETUNREACH,
     ];
-    codes.iter().for_each(|code| runtime.block_on(accept_after(&[*code])));
-    runtime.block_on(accept_after(&codes));
+    codes.iter().for_each(|code| runtime.block_on(accept_after_errors(&[*code])));
+    runtime.block_on(accept_after_errors(&codes));
 }
 
 /// Guards against long pauses that all new connections pay for.
 #[tokio::test]
-async fn where_something_is_lacking_it_is_tried_again_soon() {
-    let lacking = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM];
+async fn accept_is_retried_soon_after_a_resource_shortage() {
+    let shortages = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM];
     let start = Instant::now();
-    accept_after(&lacking.repeat(4)).await;
-    let waited = start.elapsed();
-    assert!(waited >= Duration::from_millis(16), "a busy loop: {waited:?}");
+    accept_after_errors(&shortages.repeat(4)).await;
+    let elapsed = start.elapsed();
+    assert!(elapsed >= Duration::from_millis(16), "a busy loop: {elapsed:?}");
     // With pauses of 20 ms it was 320 ms and more.
-    assert!(waited <= Duration::from_millis(250), "{waited:?}");
+    assert!(elapsed <= Duration::from_millis(250), "{elapsed:?}");
 }
 
 #[test]
-fn a_kind_of_failure_is_logged_once_a_second_with_its_count() {
-    let (failures, start) = (Failures::default(), std::time::Instant::now());
+fn each_failure_kind_is_logged_once_a_second_with_its_count() {
+    let (failures, start) = (CallFailures::default(), std::time::Instant::now());
     let [full, aborted] = [libc::EMFILE, libc::ECONNABORTED].map(io::Error::from_raw_os_error);
     let at = |millis| start + Duration::from_millis(millis);
     assert_eq!(failures.count("accept", &full, at(0)), Some(1));
--- a/crates/node/src/socket/tests/mod.rs
+++ b/crates/node/src/socket/tests/mod.rs
@@ -15,7 +15,7 @@
 use super::{Kernel, SystemCalls};
 
 /// Far longer than anything here takes, and shorter than a test run's patience.
-pub const LIMIT: Duration = Duration::from_secs(10);
+pub const TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A system call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -36,91 +36,93 @@
     /// It is not made and fails.
     Fails(i32),
     /// It is made, and fails all the same.
-    FailsAfterwards(i32),
+    FailsAfterCall(i32),
     /// It reads or writes so many bytes at most.
     Short(usize),
 }
 
 /// System calls with faults. Each fault is met once, in the order of the script; calls without one are the kernel's.
 #[derive(Debug, Default)]
-pub struct Scripted {
+pub struct ScriptedCalls {
     script: Mutex<Vec<(Call, Fault)>>,
 }
 
-impl Scripted {
-    pub fn new(script: &[(Call, Fault)]) -> Arc<Scripted> {
-        Arc::new(Scripted { script: Mutex::new(script.to_vec()) })
+impl ScriptedCalls {
+    pub fn new(script: &[(Call, Fault)]) -> Arc<ScriptedCalls> {
+        Arc::new(ScriptedCalls { script: Mutex::new(script.to_vec()) })
     }
 
     /// The same faults for a call so many times.
-    pub fn repeated(call: Call, fault: Fault, times: usize) -> Arc<Scripted> {
-        Scripted::new(&vec![(call, fault); times])
+    pub fn repeated(call: Call, fault: Fault, times: usize) -> Arc<ScriptedCalls> {
+        ScriptedCalls::new(&vec![(call, fault); times])
     }
 
     /// How many faults were not met yet.
-    pub fn left(&self) -> usize {
+    pub fn remaining(&self) -> usize {
         self.script.lock().unwrap_or_else(PoisonError::into_inner).len()
     }
 
-    fn next(&self, call: Call) -> Option<Fault> {
+    fn take_fault(&self, call: Call) -> Option<Fault> {
         let mut script = self.script.lock().unwrap_or_else(PoisonError::into_inner);
-        let at = script.iter().position(|(of, _)| *of == call)?;
-        Some(script.remove(at).1)
+        let index = script.iter().position(|(faulty, _)| *faulty == call)?;
+        Some(script.remove(index).1)
     }
 
-    fn make<T>(&self, call: Call, made: impl FnOnce(usize) -> io::Result<T>) -> io::Result<T> {
-        match self.next(call) {
+    fn run_call<T>(&self, call: Call, kernel_call: impl FnOnce(usize) -> io::Result<T>) -> io::Result<T> {
+        match self.take_fault(call) {
             Some(Fault::Fails(code)) => Err(io::Error::from_raw_os_error(code)),
-            Some(Fault::FailsAfterwards(code)) => {
-                let _ = made(usize::MAX);
+            Some(Fault::FailsAfterCall(code)) => {
+                let _ = kernel_call(usize::MAX);
                 Err(io::Error::from_raw_os_error(code))
             }
-            Some(Fault::Short(bytes)) => made(bytes),
-            None => made(usize::MAX),
+            Some(Fault::Short(max_bytes)) => kernel_call(max_bytes),
+            None => kernel_call(usize::MAX),
         }
     }
 }
 
-impl SystemCalls for Scripted {
+impl SystemCalls for ScriptedCalls {
     fn open(&self, domain: Domain) -> io::Result<Socket> {
-        self.make(Call::Open, |_| Kernel.open(domain))
+        self.run_call(Call::Open, |_| Kernel.open(domain))
     }
 
     fn connect(&self, socket: &Socket, address: &SockAddr) -> io::Result<()> {
-        self.make(Call::Connect, |_| Kernel.connect(socket, address))
+        self.run_call(Call::Connect, |_| Kernel.connect(socket, address))
     }
 
     fn take_error(&self, socket: &Socket) -> io::Result<Option<io::Error>> {
-        match self.next(Call::TakeError) {
-            Some(Fault::FailsAfterwards(code)) => Ok(Some(io::Error::from_raw_os_error(code))),
+        match self.take_fault(Call::TakeError) {
+            Some(Fault::FailsAfterCall(code)) => Ok(Some(io::Error::from_raw_os_error(code))),
             Some(Fault::Fails(code)) => Err(io::Error::from_raw_os_error(code)),
             Some(Fault::Short(_)) | None => Kernel.take_error(socket),
         }
     }
 
     fn accept(&self, listener: &Socket) -> io::Result<(Socket, SockAddr)> {
-        self.make(Call::Accept, |_| Kernel.accept(listener))
+        self.run_call(Call::Accept, |_| Kernel.accept(listener))
     }
 
     fn receive(&self, socket: &Socket, buffer: &mut [u8]) -> io::Result<usize> {
-        self.make(Call::Receive, |most| {
-            let room = buffer.len().min(most);
-            Kernel.receive(socket, &mut buffer[..room])
+        self.run_call(Call::Receive, |max_bytes| {
+            let length = buffer.len().min(max_bytes);
+            Kernel.receive(socket, &mut buffer[..length])
         })
     }
 
     fn peek(&self, socket: &Socket, buffer: &mut [MaybeUninit<u8>]) -> io::Result<usize> {
-        self.make(Call::Peek, |_| Kernel.peek(socket, buffer))
+        self.run_call(Call::Peek, |_| Kernel.peek(socket, buffer))
     }
 
     fn send(&self, socket: &Socket, slices: &[IoSlice<'_>]) -> io::Result<usize> {
-        self.make(Call::Send, |most| match slices.iter().find(|slice| !slice.is_empty()) {
-            Some(slice) if slice.len() > most => Kernel.send(socket, &[IoSlice::new(&slice[..most])]),
+        self.run_call(Call::Send, |max_bytes| match slices.iter().find(|slice| !slice.is_empty()) {
+            Some(slice) if slice.len() > max_bytes => {
+                Kernel.send(socket, &[IoSlice::new(&slice[..max_bytes])])
+            }
             _ => Kernel.send(socket, slices),
         })
     }
 
     fn shutdown(&self, socket: &Socket, how: Shutdown) -> io::Result<()> {
-        self.make(Call::Shutdown, |_| Kernel.shutdown(socket, how))
+        self.run_call(Call::Shutdown, |_| Kernel.shutdown(socket, how))
     }
 }
