--- a/crates/node/src/socket/connecting.rs
+++ b/crates/node/src/socket/connecting.rs
@@ -1,4 +1,4 @@
-//! Opening a connection.
+//! Opens outgoing TCP connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,20 +9,21 @@
 use super::registered::uninterrupted;
 use super::{ConnectError, Stream, SystemCalls};
 
-/// How a call of connect(2) left the socket.
+/// Progress of a connect(2) that did not fail.
 enum ConnectProgress {
     Connected,
     InProgress,
 }
 
-/// Connects. Whoever calls this bounds how long it may take.
+/// Connects to `address`. This function has no timeout of its own: the caller must set one.
 pub async fn connect(calls: &Arc<dyn SystemCalls>, address: SocketAddr) -> Result<Stream, ConnectError> {
     let socket =
         uninterrupted(|| calls.open(Domain::for_address(address))).map_err(ConnectError::from_system_call)?;
     let progress =
         start_connect(calls.as_ref(), &socket, &address.into()).map_err(ConnectError::from_system_call)?;
-    // A socket that is not connecting yet passes for one that is ready: the runtime is told of it only now. What fails
-    // from here on without the socket's own error is for want of something here.
+    // The socket is registered with the runtime only now, because the kernel reports a socket that is not
+    // connecting yet as ready. From here on, an error other than the socket's own pending error means that
+    // this machine lacks a resource.
     let stream = Stream::new(calls.clone(), socket).map_err(ConnectError::Local)?;
     if matches!(progress, ConnectProgress::InProgress) {
         stream.writable().await.map_err(ConnectError::Local)?;
@@ -33,8 +34,9 @@
     Ok(stream)
 }
 
-/// Begins to connect. Interrupted, a connect goes on in the background; the next call tells how far it has come, and
-/// begins anew where it has not begun.
+/// Starts to connect. A connect(2) that a signal interrupts may continue in the background. It is therefore
+/// called again: the repeated call reports the progress of the connection, or starts it if the interrupted
+/// call did not.
 fn start_connect(
     calls: &dyn SystemCalls,
     socket: &Socket,
--- a/crates/node/src/socket/error.rs
+++ b/crates/node/src/socket/error.rs
@@ -1,37 +1,39 @@
-//! Why a connection did not come up: the peer's doing, or this machine's.
+//! The errors of connecting. They distinguish failures of the peer from failures of this machine.
 
 use std::io;
 
 use thiserror::Error;
 
-/// Why a connection did not come up.
+/// Why a connection could not be established.
 #[derive(Debug, Error)]
 pub enum ConnectError {
-    /// This machine could not open one. It says nothing about the peer, and another attempt may do better at once.
+    /// This machine could not open the connection. The error says nothing about the peer, and another attempt
+    /// may succeed at once.
     #[error("this machine cannot open a connection: {0}")]
     Local(#[source] io::Error),
-    /// The peer refused it, or could not be reached.
+    /// The peer refused the connection or could not be reached.
     #[error("cannot connect: {0}")]
     Remote(#[source] io::Error),
-    /// It did not come up in time.
-    #[error("connecting took too long")]
+    /// The connection was not established within the time limit.
+    #[error("timed out while connecting")]
     TimedOut,
 }
 
 impl ConnectError {
-    /// Sorts an error of socket(2) or connect(2) by whose it is.
+    /// Classifies an error of socket(2) or connect(2) as `Local` or `Remote`.
     pub fn from_system_call(error: io::Error) -> ConnectError {
         if is_local(&error) { ConnectError::Local(error) } else { ConnectError::Remote(error) }
     }
 
-    /// Whether nothing is said about the peer.
+    /// Whether the failure is that of this machine and says nothing about the peer.
     pub fn is_local(&self) -> bool {
         matches!(self, ConnectError::Local(_))
     }
 }
 
-/// The errors of socket(2) and connect(2) that are this machine's: out of descriptors, memory, buffers or ports, or
-/// without a route. An unreachable host, a refusal and a reset are the peer's.
+/// The errors of socket(2) and connect(2) that this machine causes, such as a lack of descriptors, memory,
+/// buffers, ports or a route. An unreachable host, a refused connection and a reset count as failures of the
+/// peer.
 const LOCAL_ERRORS: [i32; 12] = [
     libc::EMFILE,
     libc::ENFILE,
--- a/crates/node/src/socket/failures.rs
+++ b/crates/node/src/socket/failures.rs
@@ -1,4 +1,5 @@
-//! Failed system calls that no one is told of otherwise: counted, and logged once per kind and second.
+//! Counts failed system calls that no caller learns about, and logs each kind of failure at most once per
+//! second.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -7,10 +8,10 @@
 
 use crate::log;
 
-/// A kind of failure is logged at most once in this time.
+/// Shortest time between two log lines about the same kind of failure.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Counts of failures by kind.
+/// Counts of failed system calls by system call and error number.
 #[derive(Debug, Default)]
 pub struct CallFailures {
     counts: Mutex<BTreeMap<FailureKind, FailureCount>>,
@@ -29,14 +30,14 @@
 }
 
 impl CallFailures {
-    /// Counts a failure, and logs it if its kind was not logged within the last second.
+    /// Counts a failure and logs it, unless its kind was logged within the last second.
     pub fn record(&self, call: &'static str, error: &io::Error) {
         if let Some(total) = self.count(call, error, Instant::now()) {
             log::line(format!("system_call_failed call={call} total={total} error=\"{error}\""));
         }
     }
 
-    /// Counts a failure. Tells how many of its kind there were, if that is to be logged.
+    /// Counts a failure. Returns the total for its kind if a log line is due, and `None` otherwise.
     pub(super) fn count(&self, call: &'static str, error: &io::Error, now: Instant) -> Option<u64> {
         let mut counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
         let kind = FailureKind { call, errno: error.raw_os_error() };
--- a/crates/node/src/socket/listener.rs
+++ b/crates/node/src/socket/listener.rs
@@ -1,4 +1,4 @@
-//! A listening socket.
+//! A listening TCP socket that keeps accepting after errors.
 
 use std::future::poll_fn;
 use std::io;
@@ -14,13 +14,15 @@
 use super::registered::{Registered, uninterrupted};
 use super::{Stream, SystemCalls};
 
-/// Clients that connect while the sidecar starts or is busy wait here.
+/// Length of the queue in which new connections wait until they are accepted, while the sidecar starts or is
+/// busy.
 const BACKLOG: i32 = 4096;
-/// The wait after an accept for which something was missing here: short, because all new connections wait with it, and
-/// long enough to cost next to nothing while descriptors are lacking for longer.
+/// Delay before the next accept after one that failed because this machine lacked a resource. It is short
+/// because all new connections wait during the delay. It is long enough that the retries cost almost no CPU
+/// time while descriptors are exhausted for longer.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(2);
 
-/// A socket that accepts connections.
+/// A listening socket. It is closed when it is dropped.
 #[derive(Debug)]
 pub struct Listener {
     socket: Registered,
@@ -29,7 +31,8 @@
 }
 
 impl Listener {
-    /// Listens. The address may be in use by connections of a predecessor that was killed.
+    /// Opens a socket that listens on `address`. Connections that remain from a previous process that was
+    /// killed do not prevent this (`SO_REUSEADDR`).
     pub fn bind(calls: Arc<dyn SystemCalls>, address: SocketAddr) -> io::Result<Listener> {
         let socket = uninterrupted(|| calls.open(Domain::for_address(address)))?;
         socket.set_reuse_address(true)?;
@@ -39,13 +42,15 @@
         Ok(Listener { socket, calls, failures: CallFailures::default() })
     }
 
-    /// Where it listens.
+    /// Returns the address on which the socket listens, with the port that the kernel chose if port 0 was
+    /// requested.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         let address = self.socket.socket().local_addr()?;
         address.as_socket().ok_or_else(|| io::ErrorKind::AddrNotAvailable.into())
     }
 
-    /// The next connection. It goes on through all errors, of which it logs some; dropped, it loses no connection.
+    /// Returns the next connection and its peer address. Retries after every error and logs some of the
+    /// errors. Dropping the returned future loses no connection.
     pub async fn accept(&self) -> (Stream, SocketAddr) {
         loop {
             match self.accept_one().await {
@@ -72,13 +77,14 @@
     }
 }
 
-/// The address of a peer.
+/// Converts the peer address of an accepted connection; fails if it is not an IP address.
 fn peer_address(address: &SockAddr) -> io::Result<SocketAddr> {
     address.as_socket().ok_or_else(|| io::ErrorKind::AddrNotAvailable.into())
 }
 
-/// Whether an error of accept(2) is that of one connection, which died while it waited and is gone now. Linux passes
-/// on the network errors of the new connection; they say nothing about the next.
+/// Whether an error of accept(2) concerns only one connection, which broke while it waited in the queue and
+/// has now been removed from it. Linux returns pending network errors of the new connection from accept(2);
+/// they say nothing about the next connection.
 fn is_connection_error(error: &io::Error) -> bool {
     const CONNECTION_ERRORS: [i32; 12] = [
         libc::ECONNABORTED,
--- a/crates/node/src/socket/memory.rs
+++ b/crates/node/src/socket/memory.rs
@@ -1,4 +1,4 @@
-//! Reads and writes for which the kernel lacks memory.
+//! Retries of reads and writes that fail because the kernel lacks memory.
 
 use std::io;
 use std::task::{Context, Poll};
@@ -6,15 +6,18 @@
 
 use tokio::time::sleep;
 
-/// Such a call is made again so much later.
+/// Delay before a call that failed for lack of kernel memory is retried.
 pub const MEMORY_RETRY: Duration = Duration::from_millis(2);
 
-/// Whether the kernel lacked memory for a call. The connection is as sound as before, and the call may be made again.
+/// Whether a call failed because the kernel lacked memory. The connection is still intact, and the call may
+/// be retried.
 pub fn lacks_memory(error: &io::Error) -> bool {
     error.raw_os_error().is_some_and(|code| code == libc::ENOMEM || code == libc::ENOBUFS)
 }
 
-/// Has a call polled again in a moment if it lacked memory, of which no event tells.
+/// Returns `Pending` in place of an error for lack of kernel memory, and wakes the task after
+/// [`MEMORY_RETRY`] so that it makes the call again. A timer does this because no socket event reports that
+/// memory is available again.
 pub fn wake_later_if_out_of_memory<T>(
     context: &Context<'_>,
     result: Poll<io::Result<T>>,
--- a/crates/node/src/socket/mod.rs
+++ b/crates/node/src/socket/mod.rs
@@ -1,12 +1,12 @@
-//! TCP sockets of all sides: client connections, connections to upstreams, and discovery's.
+//! TCP sockets for client connections, connections to upstreams and the connection to discovery.
 //!
-//! System calls may fail for a moment, be interrupted or do less than they were asked to, without a fault of anybody's.
-//! Here such a call is made again, so that no other part has to know of it:
+//! A system call may fail temporarily, be interrupted, or transfer fewer bytes than requested, although
+//! nothing is wrong. This module retries such calls, so that the other modules need not handle these cases:
 //!
-//! - A call that was interrupted is made again.
-//! - What was read or written short says nothing about what more there is. A socket counts as ready until a call on it
-//!   would block.
-//! - A connection that died before it was accepted costs the others nothing.
+//! - An interrupted call is repeated.
+//! - A short read or write does not mean that the socket is drained or full. A socket counts as ready until a
+//!   call on it would block.
+//! - A connection that breaks before it is accepted does not delay the other connections.
 
 mod connecting;
 mod error;
--- a/crates/node/src/socket/registered.rs
+++ b/crates/node/src/socket/registered.rs
@@ -1,4 +1,4 @@
-//! A socket whose events the runtime reports.
+//! A non-blocking socket that is registered with the Tokio runtime for readiness events.
 
 use std::io;
 use std::ops::Deref;
@@ -8,36 +8,37 @@
 use tokio::io::{Interest, Ready};
 use tokio::net::TcpStream;
 
-/// A socket whose events the runtime reports. It is closed when it is dropped.
+/// A socket that is registered with the runtime for readiness events. It is closed when it is dropped.
 ///
-/// Events come once per change. So a call is made until it would block, and only then the next event is waited for: a
-/// call that did less than it was asked to is no sign that nothing more can be done. The runtime's own reads and writes
-/// take it for one, which costs an event where the kernel was interrupted.
+/// Events are edge-triggered: the runtime reports each change once. The methods therefore treat the socket as
+/// ready until a call would block, and only then wait for the next event. A short read or write does not
+/// clear the readiness, because more may be possible. The runtime's own reads and writes do clear it after a
+/// short call, which loses an event if the call was short because the kernel was interrupted.
 ///
-/// The runtime's type for connections serves for listening sockets too, since that for listeners reports no events.
+/// Listening sockets are wrapped in `TcpStream` too, because `TcpListener` does not expose readiness events.
 #[derive(Debug)]
 pub struct Registered {
     stream: TcpStream,
 }
 
 impl Registered {
-    /// Has the events of a socket reported, which must not block.
+    /// Registers a socket with the runtime. The socket must be non-blocking.
     pub fn new(socket: Socket) -> io::Result<Registered> {
         Ok(Registered { stream: TcpStream::from_std(socket.into())? })
     }
 
-    /// The socket, for calls that wait for nothing.
+    /// Returns the socket for calls that need no readiness event.
     pub fn socket(&self) -> impl Deref<Target = Socket> + '_ {
         SockRef::from(&self.stream)
     }
 
-    /// Comes back once one of these events holds, or the connection is closed.
+    /// Waits until the socket is ready for one of the operations in `interest`, or the connection is closed.
     pub async fn ready(&self, interest: Interest) -> io::Result<Ready> {
         self.stream.ready(interest).await
     }
 
-    /// Makes a call if the socket is ready for it as far as the runtime knows. Else, and where it would block,
-    /// `WouldBlock`.
+    /// Makes a call if the runtime has the socket marked as ready for it. Returns `WouldBlock` if the socket
+    /// is not marked as ready, or if the call would block.
     pub fn try_call<T>(
         &self,
         interest: Interest,
@@ -47,7 +48,7 @@
         self.stream.try_io(interest, || uninterrupted(|| call(&socket)))
     }
 
-    /// Makes a call that reads, and waits while it would block.
+    /// Polls a call that reads: waits for readiness and repeats the call as long as it would block.
     pub fn poll_read_call<T>(
         &self,
         context: &mut Context<'_>,
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Makes a call that writes, and waits while it would block.
+    /// Polls a call that writes: waits for readiness and repeats the call as long as it would block.
     pub fn poll_write_call<T>(
         &self,
         context: &mut Context<'_>,
@@ -78,7 +79,7 @@
     }
 }
 
-/// Makes a call again as long as it is interrupted.
+/// Makes a call and repeats it as long as a signal interrupts it (`EINTR`).
 pub fn uninterrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
--- a/crates/node/src/socket/stream.rs
+++ b/crates/node/src/socket/stream.rs
@@ -1,4 +1,4 @@
-//! A TCP connection.
+//! An established TCP connection.
 
 use std::io::{self, IoSlice};
 use std::mem::MaybeUninit;
@@ -14,15 +14,16 @@
 use super::memory::wake_later_if_out_of_memory;
 use super::registered::{Registered, uninterrupted};
 
-/// More buffers than this are an error to sendmsg(2); the rest is for the next write.
+/// Largest number of buffers per write, because sendmsg(2) fails with more. The next write sends the rest.
 const MAX_IO_SLICES: usize = 1024;
 
-/// What has happened on a stream.
+/// What a readiness event says about a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Readiness {
-    /// It may have bytes to read.
+    /// The stream may have bytes to read.
     Readable,
-    /// The peer has closed its sending side, or the connection broke. Bytes may still lie before that.
+    /// The peer has closed its sending side, or the connection broke. Bytes that arrived earlier may still be
+    /// unread.
     Closed,
 }
 
@@ -34,80 +35,87 @@
 }
 
 impl Stream {
-    /// Takes over a socket that does not block, and that is connected or connecting.
+    /// Wraps a non-blocking socket that is connected or connecting.
     pub(super) fn new(calls: Arc<dyn SystemCalls>, socket: Socket) -> io::Result<Stream> {
-        // Small messages must not wait in the kernel: a reset would take them along. Where it cannot be set the
-        // connection is broken, which its first read or write tells.
+        // Small messages must not wait in the kernel's send buffer, because a reset would discard them. If
+        // the option cannot be set, the connection is broken and its first read or write returns the error.
         let _ = socket.set_tcp_nodelay(true);
         Ok(Stream { socket: Registered::new(socket)?, calls })
     }
 
-    /// Comes back once it can be written to. For a connection that is being made, that is when this has ended.
+    /// Waits until the socket is writable. For a socket that is still connecting, this is when the connect
+    /// has succeeded or failed.
     pub(super) async fn writable(&self) -> io::Result<()> {
         self.socket.ready(Interest::WRITABLE).await?;
         Ok(())
     }
 
-    /// Takes the error of the socket.
+    /// Returns the pending error of the socket (`SO_ERROR`) and clears it.
     pub(super) fn take_error(&self) -> io::Result<Option<io::Error>> {
         uninterrupted(|| self.calls.take_error(&self.socket.socket()))
     }
 
-    /// Comes back once there may be something to read, an end included.
+    /// Waits until there may be something to read, which includes the end of the stream.
     pub async fn readable(&self) -> Readiness {
         match self.socket.ready(Interest::READABLE).await {
             Ok(ready) if !ready.is_read_closed() => Readiness::Readable,
-            // Without the runtime nothing more comes.
+            // An error means that the runtime is shutting down, after which no more events arrive.
             Ok(_) | Err(_) => Readiness::Closed,
         }
     }
 
-    /// Comes back once the peer has closed its sending side or the connection broke, whatever lies unread before that.
+    /// Waits until the peer has closed its sending side or the connection broke, even if earlier bytes are
+    /// still unread.
     pub async fn closed(&self) {
-        // A close is reported with any interest. That in urgent bytes is met by nothing else: the kernel is not asked
-        // for them.
+        // The runtime reports a close for every interest. `PRIORITY` (urgent data) is used because no other
+        // event satisfies it: the socket is not registered with the kernel for urgent data.
         let _ = self.socket.ready(Interest::PRIORITY).await;
     }
 
-    /// Reads what is there. `WouldBlock` where nothing is, as far as the runtime has heard.
+    /// Reads the bytes that have arrived. Returns `WouldBlock` if there are none, or if the runtime has not
+    /// yet seen the event that reports them.
     pub fn try_receive(&self, buffer: &mut [u8]) -> io::Result<usize> {
         self.socket.try_call(Interest::READABLE, |socket| self.calls.receive(socket, buffer))
     }
 
-    /// Reads what is there, past the runtime: it believes that a socket is empty until its next turn says otherwise.
+    /// Reads the bytes that have arrived by calling the kernel directly. The readiness that the runtime keeps
+    /// may be out of date: it shows a drained socket as empty until the runtime polls for events again.
     pub fn receive_now(&self, buffer: &mut [u8]) -> io::Result<usize> {
         uninterrupted(|| self.calls.receive(&self.socket.socket(), buffer))
     }
 
-    /// Whether bytes wait to be read. Asks the kernel itself, whose events may not have been taken in yet.
+    /// Whether unread bytes have arrived. Queries the kernel directly, because the runtime may not have
+    /// processed the latest events yet.
     pub fn has_unread(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         uninterrupted(|| self.calls.peek(&self.socket.socket(), &mut byte)).is_ok_and(|read| read > 0)
     }
 
-    /// Ends the sending side, after what was written.
+    /// Closes the sending side. The peer still receives everything written before.
     pub fn end_sending(&self) -> io::Result<()> {
         match uninterrupted(|| self.calls.shutdown(&self.socket.socket(), Shutdown::Write)) {
-            // The peer was faster.
+            // The peer has already closed or reset the connection.
             Err(error) if error.kind() == io::ErrorKind::NotConnected => Ok(()),
             result => result,
         }
     }
 
-    /// Reads, and waits until there is something to read.
+    /// Polls a read into `buffer`. Is pending until there is something to read, and while the kernel lacks
+    /// memory for the read.
     pub fn poll_receive(&self, context: &mut Context<'_>, buffer: &mut [u8]) -> Poll<io::Result<usize>> {
         let read = self.socket.poll_read_call(context, |socket| self.calls.receive(socket, buffer));
         wake_later_if_out_of_memory(context, read)
     }
 
-    /// Writes as much as the kernel takes, and waits until it takes something.
+    /// Polls a write and returns how many bytes the kernel accepted. Is pending until the kernel accepts at
+    /// least one byte, and while it lacks memory for the write.
     pub fn poll_send(&self, context: &mut Context<'_>, slices: &[IoSlice<'_>]) -> Poll<io::Result<usize>> {
         let slices = slices.chunks(MAX_IO_SLICES).next().unwrap_or_default();
         let written = self.socket.poll_write_call(context, |socket| self.calls.send(socket, slices));
         wake_later_if_out_of_memory(context, written)
     }
 
-    /// Reads into what is left of a buffer.
+    /// Polls a read into the unfilled part of a buffer, and marks the bytes read as filled.
     pub fn poll_receive_into(
         &self,
         context: &mut Context<'_>,
--- a/crates/node/src/socket/system_calls.rs
+++ b/crates/node/src/socket/system_calls.rs
@@ -1,7 +1,8 @@
 //! The system calls that sockets make, behind a trait.
 //!
-//! A sidecar has to keep its promises while system calls fail in the ways that Linux documents. The trait lets a test
-//! make them fail by a plan; the program itself uses [`Kernel`] alone, which adds nothing to a call.
+//! The sidecar must meet its guarantees while system calls fail in the ways that Linux documents. The trait
+//! lets a test inject such failures according to a plan. The program itself uses only [`Kernel`], which adds
+//! nothing to a call.
 
 use std::fmt::Debug;
 use std::io::{self, IoSlice, Read};
@@ -10,46 +11,49 @@
 
 use socket2::{Domain, Protocol, SockAddr, Socket, Type};
 
-/// The calls that TCP sockets make. Sockets do not block: what cannot be done now ends with `WouldBlock`.
+/// The system calls that TCP sockets make. All sockets are non-blocking: a call that cannot proceed at once
+/// fails with `WouldBlock`.
 ///
-/// Each method is one call and returns what the kernel returned, errors and interruptions included. Implementations
-/// used by tests override some methods, and may call those of [`Kernel`].
+/// Each method makes one system call and returns the kernel's result, which includes errors and
+/// interruptions. Implementations for tests override some of the methods and may call those of [`Kernel`].
 pub trait SystemCalls: Debug + Send + Sync + 'static {
-    /// Opens a TCP socket that does not block.
+    /// Opens a non-blocking TCP socket that is closed on exec.
     fn open(&self, domain: Domain) -> io::Result<Socket> {
         let socket = Socket::new(domain, Type::STREAM.nonblocking().cloexec(), Some(Protocol::TCP))?;
         Ok(socket)
     }
 
-    /// Begins to connect. `EINPROGRESS` is an error here, as it is in connect(2).
+    /// Starts to connect. `EINPROGRESS` is returned as an error, as connect(2) does.
     fn connect(&self, socket: &Socket, address: &SockAddr) -> io::Result<()> {
         socket.connect(address)
     }
 
-    /// Takes the error of a socket: how a connect that was in progress ended, or what broke a connection.
+    /// Returns and clears the pending error of a socket: the result of a connect that was in progress, or the
+    /// error that broke the connection.
     fn take_error(&self, socket: &Socket) -> io::Result<Option<io::Error>> {
         socket.take_error()
     }
 
-    /// Accepts a connection that waits. Its socket does not block.
+    /// Accepts a waiting connection and makes its socket non-blocking.
     fn accept(&self, listener: &Socket) -> io::Result<(Socket, SockAddr)> {
         let (socket, address) = listener.accept()?;
         socket.set_nonblocking(true)?;
         Ok((socket, address))
     }
 
-    /// Reads into a buffer. No bytes read into a buffer with room mean that the peer has ended its sending.
+    /// Reads into a buffer. A result of 0 for a buffer that is not empty means that the peer has closed its
+    /// sending side.
     fn receive(&self, socket: &Socket, buffer: &mut [u8]) -> io::Result<usize> {
         let mut socket = socket;
         socket.read(buffer)
     }
 
-    /// Reads without taking what is read.
+    /// Reads into a buffer and leaves the bytes in the receive queue of the socket (`MSG_PEEK`).
     fn peek(&self, socket: &Socket, buffer: &mut [MaybeUninit<u8>]) -> io::Result<usize> {
         socket.peek(buffer)
     }
 
-    /// Writes from several buffers, as much as the kernel takes.
+    /// Writes from several buffers. Returns how many bytes the kernel accepted.
     fn send(&self, socket: &Socket, slices: &[IoSlice<'_>]) -> io::Result<usize> {
         match slices {
             [slice] => socket.send(slice),
@@ -57,13 +61,13 @@
         }
     }
 
-    /// Ends a side of a connection.
+    /// Closes the sending side, the receiving side or both sides of a connection.
     fn shutdown(&self, socket: &Socket, how: Shutdown) -> io::Result<()> {
         socket.shutdown(how)
     }
 }
 
-/// The system calls of the kernel, as they are.
+/// Makes the system calls of the kernel without any change.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Kernel;
 
