--- a/crates/node/src/socket/tests/connecting.rs
+++ b/crates/node/src/socket/tests/connecting.rs
@@ -1,4 +1,4 @@
-//! Connections that do not come up at once, or not at all.
+//! Tests of connects that are interrupted, delayed or fail.
 
 use tokio::net::TcpListener;
 use tokio::time::timeout;
@@ -6,15 +6,16 @@
 use super::*;
 use crate::socket::{ConnectError, connect};
 
-/// Connects to a listener on these system calls; whether the listener has got the connection.
+/// Connects to a listener with scripted system calls. Returns whether the connection is established and no
+/// bytes have arrived on it.
 async fn connect_with_faults(script: &[(Call, Fault)]) -> Result<bool, ConnectError> {
     let scripted = ScriptedCalls::new(script);
     let calls: Arc<dyn SystemCalls> = scripted.clone();
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
-    let stream = timeout(TIMEOUT, connect(&calls, address)).await.expect("in time")?;
-    assert_eq!(scripted.remaining(), 0, "faults were met");
-    let accepted = timeout(TIMEOUT, listener.accept()).await.expect("in time").expect("a connection");
+    let stream = timeout(TIMEOUT, connect(&calls, address)).await.expect("no timeout")?;
+    assert_eq!(scripted.remaining(), 0, "unused scripted faults");
+    let accepted = timeout(TIMEOUT, listener.accept()).await.expect("no timeout").expect("a connection");
     Ok(accepted.0.peer_addr().is_ok() && stream.receive_now(&mut [0]).is_err())
 }
 
@@ -22,8 +23,9 @@
 async fn interrupted_calls_do_not_prevent_a_connection() {
     let scripts: [&[(Call, Fault)]; 4] = [
         &[(Call::Open, Fault::Fails(libc::EINTR))],
-        // It has not begun; it goes on in the background.
+        // The interrupted call has not started to connect.
         &[(Call::Connect, Fault::Fails(libc::EINTR))],
+        // The interrupted call continues in the background.
         &[(Call::Connect, Fault::FailsAfterCall(libc::EINTR))],
         &[(Call::TakeError, Fault::Fails(libc::EINTR))],
     ];
@@ -59,6 +61,6 @@
     let address = listener.local_addr().expect("an address");
     drop(listener);
     let calls: Arc<dyn SystemCalls> = Arc::new(Kernel);
-    let error = timeout(TIMEOUT, connect(&calls, address)).await.expect("in time").expect_err("a refusal");
+    let error = timeout(TIMEOUT, connect(&calls, address)).await.expect("no timeout").expect_err("a refusal");
     assert!(matches!(error, ConnectError::Remote(_)), "{error:?}");
 }
--- a/crates/node/src/socket/tests/listener.rs
+++ b/crates/node/src/socket/tests/listener.rs
@@ -1,4 +1,4 @@
-//! A listener whose accepts fail.
+//! Tests of a listener whose accept calls fail.
 
 use std::net::TcpStream;
 use std::time::Instant;
@@ -9,7 +9,7 @@
 use crate::socket::Listener;
 use crate::socket::failures::CallFailures;
 
-/// Accepts a connection that waits, with these errors before it.
+/// Accepts a waiting connection after accept calls have failed with the given error numbers.
 async fn accept_after_errors(codes: &[i32]) {
     let script: Vec<_> = codes.iter().map(|code| (Call::Accept, Fault::Fails(*code))).collect();
     let calls = ScriptedCalls::new(&script);
@@ -18,13 +18,13 @@
     let client = TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
     let (_stream, peer) = listener.accept().await;
     assert_eq!(peer, client.local_addr().expect("an address"));
-    assert_eq!(calls.remaining(), 0, "faults were met");
+    assert_eq!(calls.remaining(), 0, "unused scripted faults");
 }
 
-/// Guards against a pause that all pay for one connection that died while it waited.
+/// Guards against a delay of all new connections after one connection broke before it was accepted.
 #[test]
 fn an_aborted_connection_does_not_delay_the_next() {
-    // Without a timer a pause is a panic.
+    // The runtime has no timer, so any delay panics.
     let runtime = Builder::new_current_thread().enable_io().build().expect("a runtime");
     let codes = [
         libc::ECONNABORTED,
@@ -43,7 +43,7 @@
     runtime.block_on(accept_after_errors(&codes));
 }
 
-/// Guards against long pauses that all new connections pay for.
+/// Guards against long delays of all new connections after a temporary shortage, and against a busy loop.
 #[tokio::test]
 async fn accept_is_retried_soon_after_a_resource_shortage() {
     let shortages = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM];
@@ -51,7 +51,7 @@
     accept_after_errors(&shortages.repeat(4)).await;
     let elapsed = start.elapsed();
     assert!(elapsed >= Duration::from_millis(16), "a busy loop: {elapsed:?}");
-    // With pauses of 20 ms it was 320 ms and more.
+    // With a delay of 20 ms per failed accept this took 320 ms or more.
     assert!(elapsed <= Duration::from_millis(250), "{elapsed:?}");
 }
 
@@ -62,6 +62,10 @@
     let at = |millis| start + Duration::from_millis(millis);
     assert_eq!(failures.count("accept", &full, at(0)), Some(1));
     assert_eq!(failures.count("accept", &full, at(999)), None);
-    assert_eq!(failures.count("accept", &aborted, at(999)), Some(1), "another kind");
-    assert_eq!(failures.count("accept", &full, at(1_000)), Some(3), "those between count");
+    assert_eq!(failures.count("accept", &aborted, at(999)), Some(1), "a different kind");
+    assert_eq!(
+        failures.count("accept", &full, at(1_000)),
+        Some(3),
+        "failures that were not logged are counted"
+    );
 }
--- a/crates/node/src/socket/tests/mod.rs
+++ b/crates/node/src/socket/tests/mod.rs
@@ -1,4 +1,5 @@
-//! Sockets on system calls that fail, are interrupted or fall short as a test says.
+//! Tests of the sockets with scripted system calls that fail, are interrupted or transfer fewer bytes than
+//! requested.
 
 mod connecting;
 mod listener;
@@ -14,10 +15,11 @@
 
 use super::{Kernel, SystemCalls};
 
-/// Far longer than anything here takes, and shorter than a test run's patience.
+/// Time limit of one step of a test. It is far longer than any step takes, and shorter than the time limit of
+/// a test run.
 pub const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A system call.
+/// A system call that can be given a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Call {
     Open,
@@ -30,18 +32,19 @@
     Shutdown,
 }
 
-/// What comes of a call in place of what the kernel makes of it.
+/// How a scripted call differs from the call of the kernel.
 #[derive(Debug, Clone, Copy)]
 pub enum Fault {
-    /// It is not made and fails.
+    /// The kernel is not called, and the call fails with this error number.
     Fails(i32),
-    /// It is made, and fails all the same.
+    /// The kernel is called, but the call fails with this error number.
     FailsAfterCall(i32),
-    /// It reads or writes so many bytes at most.
+    /// The call reads or writes at most this number of bytes.
     Short(usize),
 }
 
-/// System calls with faults. Each fault is met once, in the order of the script; calls without one are the kernel's.
+/// System calls with scripted faults. Each fault applies to one call, and the faults of one system call apply
+/// in the order of the script. Calls without a fault go to the kernel unchanged.
 #[derive(Debug, Default)]
 pub struct ScriptedCalls {
     script: Mutex<Vec<(Call, Fault)>>,
@@ -52,12 +55,12 @@
         Arc::new(ScriptedCalls { script: Mutex::new(script.to_vec()) })
     }
 
-    /// The same faults for a call so many times.
+    /// Scripts the same fault for the next `times` calls of one system call.
     pub fn repeated(call: Call, fault: Fault, times: usize) -> Arc<ScriptedCalls> {
         ScriptedCalls::new(&vec![(call, fault); times])
     }
 
-    /// How many faults were not met yet.
+    /// Returns how many faults have not been used yet.
     pub fn remaining(&self) -> usize {
         self.script.lock().unwrap_or_else(PoisonError::into_inner).len()
     }
