--- a/crates/node/src/socket/tests/listener.rs
+++ b/crates/node/src/socket/tests/listener.rs
@@ -58,13 +58,13 @@
 #[test]
 fn each_failure_kind_is_logged_once_a_second_with_its_count() {
     let (failures, start) = (CallFailures::default(), std::time::Instant::now());
-    let [full, aborted] = [libc::EMFILE, libc::ECONNABORTED].map(io::Error::from_raw_os_error);
+    let [out_of_descriptors, aborted] = [libc::EMFILE, libc::ECONNABORTED].map(io::Error::from_raw_os_error);
     let at = |millis| start + Duration::from_millis(millis);
-    assert_eq!(failures.count("accept", &full, at(0)), Some(1));
-    assert_eq!(failures.count("accept", &full, at(999)), None);
+    assert_eq!(failures.count("accept", &out_of_descriptors, at(0)), Some(1));
+    assert_eq!(failures.count("accept", &out_of_descriptors, at(999)), None);
     assert_eq!(failures.count("accept", &aborted, at(999)), Some(1), "a different kind");
     assert_eq!(
-        failures.count("accept", &full, at(1_000)),
+        failures.count("accept", &out_of_descriptors, at(1_000)),
         Some(3),
         "failures that were not logged are counted"
     );
