--- a/crates/harelock/src/lib.rs
+++ b/crates/harelock/src/lib.rs
@@ -174,7 +174,7 @@
         connections: config.limits.clients(),
         shortest_deadline: Duration::from_secs_f64(config.settings.shortest_deadline_ms() / 1e3),
     };
-    let known = config.known.as_ref().map(HostList::list);
+    let known = config.known.as_ref().map(HostList::to_list);
     let platform = platform(&config.settings);
     let table = operator.table(&platform)?;
     let facts = Facts::new(&config.settings);
@@ -229,13 +229,17 @@
 }
 
 /// Discovery, as a configuration has it.
-fn source(config: &Config, system_calls: &Arc<dyn SystemCalls>, news: DiscoveryEvents) -> discovery::Source {
-    discovery::Source {
+fn source(
+    config: &Config,
+    system_calls: &Arc<dyn SystemCalls>,
+    news: DiscoveryEvents,
+) -> discovery::PlatformDiscovery {
+    discovery::PlatformDiscovery {
         address: config.discovery,
         must_ask_in: config.settings.must_ask_in(),
         seed: config.seed(),
         system_calls: system_calls.clone(),
-        news,
+        events: news,
     }
 }
 
--- a/crates/node/src/rosters/discovery.rs
+++ b/crates/node/src/rosters/discovery.rs
@@ -32,7 +32,7 @@
 const LAST_CONNECT_RETRY: Duration = Duration::from_millis(100);
 
 /// Discovery at an address.
-pub struct Source {
+pub struct PlatformDiscovery {
     /// Where it listens.
     pub address: SocketAddr,
     /// Whether and how often it must be asked.
@@ -42,10 +42,10 @@
     /// What its sockets are opened with.
     pub system_calls: Arc<dyn SystemCalls>,
     /// Where its news go.
-    pub news: DiscoveryEvents,
+    pub events: DiscoveryEvents,
 }
 
-impl DiscoverySource for Source {
+impl DiscoverySource for PlatformDiscovery {
     fn subscribe(&self, from: u64, start: SubscriptionStart) -> Subscription {
         let (start, before) = match start {
             SubscriptionStart::NoList => (listclock::Start::Empty, None),
@@ -54,17 +54,17 @@
         };
         before.iter().for_each(Subscription::retire);
         let rules = Rules { must_ask_in: self.must_ask_in, can_fall_silent: true };
-        let (address, news, seed) = (self.address, self.news.clone(), self.seed);
+        let (address, events, seed) = (self.address, self.events.clone(), self.seed);
         let system_calls = self.system_calls.clone();
         Subscription::spawn(move |retired| {
             let clock = Clock::new(rules, start, seed, 0.0);
-            let pace = news.pace();
+            let pace = events.pace();
             let epoch = Instant::now();
             let watch = Watch {
                 address,
                 system_calls,
                 version: from,
-                news,
+                events,
                 clock,
                 epoch,
                 retired,
@@ -85,7 +85,7 @@
     /// The version that the sidecar has, 0 if the whole list is wanted. What a watch that ends has not told comes after
     /// it, so that the next one tells it.
     version: u64,
-    news: DiscoveryEvents,
+    events: DiscoveryEvents,
     clock: Clock,
     /// The clock's 0.
     epoch: Instant,
@@ -142,7 +142,7 @@
 impl Watch {
     /// Calls and watches as the clock says.
     async fn keep(mut self) {
-        while !self.news.is_closed() {
+        while !self.events.is_closed() {
             let due = self.clock.due().and_then(|due| self.instant(due));
             tokio::select! {
                 () = sleep_until(due.unwrap_or_else(|| Instant::now() + Duration::from_secs(60))) => {}
@@ -241,7 +241,7 @@
     /// Tells whether discovery answers, whenever that changes.
     fn reach(&mut self, reach: Reach) {
         if self.reach.replace(reach) != Some(reach) {
-            self.news.reachability_changed(reach);
+            self.events.reachability_changed(reach);
         }
     }
 
@@ -252,10 +252,10 @@
             let held = std::mem::take(&mut self.version);
             bail!("changes up to {} came after {held}", list.seq);
         }
-        let list = List { previous_contact: self.heard_at, source_clock, ..list.list() };
+        let list = List { previous_contact: self.heard_at, source_clock, ..list.to_list() };
         self.version = list.resume_from;
         self.before = None;
-        if !self.news.list_received(list) {
+        if !self.events.list_received(list) {
             bail!("the engine has ended");
         }
         Ok(())
--- a/crates/node/src/rosters/host_list.rs
+++ b/crates/node/src/rosters/host_list.rs
@@ -72,7 +72,7 @@
 
 impl HostList {
     /// The list in the engine's terms. Entries that cannot be read are logged, in one line, and left out.
-    pub fn list(&self) -> List {
+    pub fn to_list(&self) -> List {
         let mut list = List { version: self.seq, complete: self.whole, ..List::default() };
         for entry in &self.hosts {
             match entry {
--- a/crates/node/src/rosters/host_list/tests.rs
+++ b/crates/node/src/rosters/host_list/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 fn read(text: &str) -> List {
-    serde_json::from_str::<HostList>(text).expect("a list").list()
+    serde_json::from_str::<HostList>(text).expect("a list").to_list()
 }
 
 #[test]
