--- a/crates/node/src/rosters/discovery.rs
+++ b/crates/node/src/rosters/discovery.rs
@@ -22,14 +22,14 @@
 use crate::engine::{ClockReading, DiscoveryEvents, DiscoverySource, List, Subscription, SubscriptionStart};
 use crate::log;
 use crate::rosters::host_list::HostList;
+use crate::rosters::json_stream::JsonStream;
 use crate::rosters::source_clock::clock_reading;
-use crate::rosters::values::Values;
 use crate::socket::{self, ConnectError, Stream, SystemCalls};
 
 /// Where this machine cannot open a connection, the next try comes so much later...
-const FIRST_CONNECT_RETRY: Duration = Duration::from_millis(5);
+const MIN_CONNECT_BACKOFF: Duration = Duration::from_millis(5);
 /// ...then twice as much each time, up to this.
-const LAST_CONNECT_RETRY: Duration = Duration::from_millis(100);
+const MAX_CONNECT_BACKOFF: Duration = Duration::from_millis(100);
 
 /// Discovery at an address.
 pub struct PlatformDiscovery {
@@ -47,12 +47,12 @@
 
 impl DiscoverySource for PlatformDiscovery {
     fn subscribe(&self, from: u64, start: SubscriptionStart) -> Subscription {
-        let (start, before) = match start {
+        let (start, replaced) = match start {
             SubscriptionStart::NoList => (listclock::Start::Empty, None),
             SubscriptionStart::HasList => (listclock::Start::Known, None),
-            SubscriptionStart::Replaces(before) => (listclock::Start::Moved, before),
+            SubscriptionStart::Replaces(replaced) => (listclock::Start::Moved, replaced),
         };
-        before.iter().for_each(Subscription::retire);
+        replaced.iter().for_each(Subscription::retire);
         let rules = Rules { must_ask_in: self.must_ask_in, can_fall_silent: true };
         let (address, events, seed) = (self.address, self.events.clone(), self.seed);
         let system_calls = self.system_calls.clone();
@@ -60,7 +60,7 @@
             let clock = Clock::new(rules, start, seed, 0.0);
             let pace = events.pace();
             let epoch = Instant::now();
-            let watch = Watch {
+            let watch = WatchTask {
                 address,
                 system_calls,
                 version: from,
@@ -68,18 +68,18 @@
                 clock,
                 epoch,
                 retired,
-                before,
+                replaced,
                 pace,
                 reach: None,
-                heard_at: None,
+                last_contact: None,
             };
-            watch.keep()
+            watch.run()
         })
     }
 }
 
 /// Where a watch starts from and what it tells.
-struct Watch {
+struct WatchTask {
     address: SocketAddr,
     system_calls: Arc<dyn SystemCalls>,
     /// The version that the sidecar has, 0 if the whole list is wanted. What a watch that ends has not told comes after
@@ -92,17 +92,17 @@
     /// Whether it may call no more.
     retired: Arc<AtomicBool>,
     /// What was followed before and is let go at the first list: the new discovery may not be up yet.
-    before: Option<Subscription>,
+    replaced: Option<Subscription>,
     /// How eagerly it is asked, where a fleet decides on it.
     pace: Option<watch::Receiver<Pace>>,
     /// Whether discovery answers, as it was told last.
     reach: Option<Reach>,
     /// When it said last, by a list or by an empty line behind one, how its list stands.
-    heard_at: Option<Instant>,
+    last_contact: Option<Instant>,
 }
 
 /// The next change of the pace; never where no fleet decides on it.
-async fn changed(pace: &mut Option<watch::Receiver<Pace>>) -> Pace {
+async fn next_pace(pace: &mut Option<watch::Receiver<Pace>>) -> Pace {
     if let Some(pace) = pace
         && pace.changed().await.is_ok()
     {
@@ -117,16 +117,17 @@
     system_calls: &Arc<dyn SystemCalls>,
     address: SocketAddr,
 ) -> std::result::Result<Stream, ConnectError> {
-    let mut retry = FIRST_CONNECT_RETRY;
+    let mut backoff = MIN_CONNECT_BACKOFF;
     loop {
         match socket::connect(system_calls, address).await {
             Err(error) if error.is_local() => {
-                if retry == FIRST_CONNECT_RETRY {
-                    let lacking = if is_out_of_descriptors(&error) { "a descriptor" } else { "a connection" };
-                    log::line(format!("discovery: waiting for {lacking}: {error}"));
+                if backoff == MIN_CONNECT_BACKOFF {
+                    let resource =
+                        if is_out_of_descriptors(&error) { "a descriptor" } else { "a connection" };
+                    log::line(format!("discovery: waiting for {resource}: {error}"));
                 }
-                sleep(retry).await;
-                retry = LAST_CONNECT_RETRY.min(retry * 2);
+                sleep(backoff).await;
+                backoff = MAX_CONNECT_BACKOFF.min(backoff * 2);
             }
             result => return result,
         }
@@ -139,14 +140,14 @@
     matches!(error.raw_os_error(), Some(libc::ENFILE | libc::EMFILE))
 }
 
-impl Watch {
+impl WatchTask {
     /// Calls and watches as the clock says.
-    async fn keep(mut self) {
+    async fn run(mut self) {
         while !self.events.is_closed() {
             let due = self.clock.due().and_then(|due| self.instant(due));
             tokio::select! {
                 () = sleep_until(due.unwrap_or_else(|| Instant::now() + Duration::from_secs(60))) => {}
-                pace = changed(&mut self.pace) => {
+                pace = next_pace(&mut self.pace) => {
                     self.clock.ask(self.millis(), pace);
                     continue;
                 }
@@ -155,10 +156,10 @@
                 return;
             }
             if self.clock.poll(self.millis()) == Some(Command::Call) {
-                let Err(end) = self.once().await;
+                let Err(end) = self.call().await;
                 // Before it is answered a call has failed; after it, the next call shows whether discovery is there.
                 if self.clock.is_calling() {
-                    self.reach(Reach::Down);
+                    self.update_reachability(Reach::Down);
                 }
                 self.clock.observe(self.millis(), ListEvent::Ended);
                 log::line(format!("discovery: {end:#}"));
@@ -176,24 +177,28 @@
     }
 
     /// Waits for something on a call or a watch, as long as the clock lets it.
-    async fn within<T>(&mut self, what: &'static str, coming: impl Future<Output = T>) -> Result<T> {
-        let mut coming = pin!(coming);
+    async fn wait_for<T>(
+        &mut self,
+        timeout_message: &'static str,
+        future: impl Future<Output = T>,
+    ) -> Result<T> {
+        let mut future = pin!(future);
         loop {
             let due = self.clock.due().and_then(|due| self.instant(due)).context("no time for it")?;
-            if let Ok(came) = timeout_at(due, &mut coming).await {
-                return Ok(came);
+            if let Ok(output) = timeout_at(due, &mut future).await {
+                return Ok(output);
             }
             if self.clock.poll(self.millis()) == Some(Command::GiveUp) {
-                self.reach(Reach::Down);
-                bail!("{what}");
+                self.update_reachability(Reach::Down);
+                bail!("{timeout_message}");
             }
         }
     }
 
-    async fn once(&mut self) -> Result<Infallible> {
-        const LATE: &str = "no answer in time";
+    async fn call(&mut self) -> Result<Infallible> {
+        const TIMED_OUT: &str = "no answer in time";
         let system_calls = self.system_calls.clone();
-        let stream = self.within(LATE, connect(&system_calls, self.address)).await??;
+        let stream = self.wait_for(TIMED_OUT, connect(&system_calls, self.address)).await??;
         let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         // It ends with this call.
         let mut tasks = JoinSet::new();
@@ -201,60 +206,60 @@
         let request = Request::get(format!("/discovery/hosts?watch=1&from={}", self.version))
             .header(header::HOST, self.address.to_string())
             .body(Empty::<Bytes>::new())?;
-        let asked_at = Instant::now();
-        let response = self.within(LATE, sender.send_request(request)).await??;
+        let requested_at = Instant::now();
+        let response = self.wait_for(TIMED_OUT, sender.send_request(request)).await??;
         if response.status() != StatusCode::OK {
             bail!("answered {}", response.status());
         }
         self.clock.observe(self.millis(), ListEvent::Answered);
-        self.reach(Reach::Up);
+        self.update_reachability(Reach::Up);
         // It is told once, with the watch's first list.
-        let mut source_clock = clock_reading(response.headers(), asked_at);
-        let mut has_told = false;
+        let mut source_clock = clock_reading(response.headers(), requested_at);
+        let mut has_delivered = false;
         let mut body = response.into_body();
-        let mut values = Values::default();
+        let mut json_stream = JsonStream::default();
         loop {
-            let frame = self.within("the watch fell silent, or a list has no end", body.frame()).await?;
+            let frame = self.wait_for("the watch fell silent, or a list has no end", body.frame()).await?;
             let frame = frame.context("the watch ended")??;
             let Ok(chunk) = frame.into_data() else { continue };
-            let lists = values.push(&chunk).inspect_err(|_| self.version = 0)?;
+            let lists = json_stream.push(&chunk).inspect_err(|_| self.version = 0)?;
             let now = self.millis();
             if !lists.is_empty() {
                 self.clock.observe(now, ListEvent::List);
             }
-            if values.is_inside() {
+            if json_stream.has_partial_value() {
                 self.clock.observe(now, ListEvent::Part);
             } else if lists.is_empty() && chunk.contains(&b'\n') {
                 // An empty line between lists. Other space there says nothing.
                 self.clock.observe(now, ListEvent::KeepAlive);
             }
             for list in &lists {
-                self.tell(list, source_clock.take())?;
-                has_told = true;
+                self.deliver(list, source_clock.take())?;
+                has_delivered = true;
             }
-            if has_told && !values.is_inside() {
-                self.heard_at = Some(Instant::now());
+            if has_delivered && !json_stream.has_partial_value() {
+                self.last_contact = Some(Instant::now());
             }
         }
     }
 
     /// Tells whether discovery answers, whenever that changes.
-    fn reach(&mut self, reach: Reach) {
+    fn update_reachability(&mut self, reach: Reach) {
         if self.reach.replace(reach) != Some(reach) {
             self.events.reachability_changed(reach);
         }
     }
 
-    fn tell(&mut self, list: &HostList, source_clock: Option<ClockReading>) -> Result<()> {
+    fn deliver(&mut self, list: &HostList, source_clock: Option<ClockReading>) -> Result<()> {
         // A discovery that has lost its memory counts anew: its whole list holds. Changes before what is held are
         // changes of something else.
         if list.seq < self.version && !list.whole {
-            let held = std::mem::take(&mut self.version);
-            bail!("changes up to {} came after {held}", list.seq);
+            let version = std::mem::take(&mut self.version);
+            bail!("changes up to {} came after {version}", list.seq);
         }
-        let list = List { previous_contact: self.heard_at, source_clock, ..list.to_list() };
+        let list = List { previous_contact: self.last_contact, source_clock, ..list.to_list() };
         self.version = list.resume_from;
-        self.before = None;
+        self.replaced = None;
         if !self.events.list_received(list) {
             bail!("the engine has ended");
         }
--- a/crates/node/src/rosters/host_list.rs
+++ b/crates/node/src/rosters/host_list.rs
@@ -23,8 +23,8 @@
     #[serde(default)]
     pub whole: bool,
     /// Its entries, as far as they could be read.
-    #[serde(deserialize_with = "bounded_entries")]
-    hosts: Vec<Result<Host, Unreadable>>,
+    #[serde(deserialize_with = "deserialize_bounded_entries")]
+    hosts: Vec<Result<Host, InvalidEntry>>,
 }
 
 /// A server as discovery tells it.
@@ -61,7 +61,7 @@
 
 /// An entry that cannot be read, and what can be made out of it.
 #[derive(Debug, Default)]
-struct Unreadable {
+struct InvalidEntry {
     /// The server's name.
     host: Option<String>,
     /// Whether the server takes new work.
@@ -77,31 +77,31 @@
         for entry in &self.hosts {
             match entry {
                 Ok(host) => list.entries.push(host.clone().into()),
-                Err(Unreadable {
+                Err(InvalidEntry {
                     host: Some(name), health: Some(Health::Draining | Health::Gone), ..
                 }) => {
                     list.draining.push(name.clone());
                 }
-                Err(Unreadable { host: Some(name), .. }) => list.unparsed.push(name.clone()),
+                Err(InvalidEntry { host: Some(name), .. }) => list.unparsed.push(name.clone()),
                 Err(_) => {}
             }
         }
-        self.log_unreadable();
-        list.resume_from = if self.is_sound() { self.seq } else { 0 };
+        self.log_invalid_entries();
+        list.resume_from = if self.is_valid_base() { self.seq } else { 0 };
         list
     }
 
     /// Whether changes that come after it can build on it: all of it was read, and there is something in it.
-    fn is_sound(&self) -> bool {
+    fn is_valid_base(&self) -> bool {
         self.hosts.iter().all(Result::is_ok) && !(self.whole && self.hosts.is_empty())
     }
 
-    fn log_unreadable(&self) {
-        let mut unreadable = self.hosts.iter().filter_map(|entry| entry.as_ref().err());
-        let Some(Unreadable { host, field, .. }) = unreadable.next() else { return };
-        let (name, more) = (host.as_deref().unwrap_or("an entry without a name"), unreadable.count());
-        let at_fault = if field.is_empty() { "it is no object" } else { field };
-        log::line(format!("discovery: {name} cannot be read ({at_fault}), nor {more} other entries"));
+    fn log_invalid_entries(&self) {
+        let mut invalid = self.hosts.iter().filter_map(|entry| entry.as_ref().err());
+        let Some(InvalidEntry { host, field, .. }) = invalid.next() else { return };
+        let (name, others) = (host.as_deref().unwrap_or("an entry without a name"), invalid.count());
+        let reason = if field.is_empty() { "it is no object" } else { field };
+        log::line(format!("discovery: {name} cannot be read ({reason}), nor {others} other entries"));
     }
 }
 
@@ -121,51 +121,51 @@
 }
 
 /// Reads the entries, and refuses more than [`MAX_ENTRIES`].
-fn bounded_entries<'de, D: Deserializer<'de>>(
+fn deserialize_bounded_entries<'de, D: Deserializer<'de>>(
     deserializer: D,
-) -> Result<Vec<Result<Host, Unreadable>>, D::Error> {
-    struct Entries;
+) -> Result<Vec<Result<Host, InvalidEntry>>, D::Error> {
+    struct EntriesVisitor;
 
-    impl<'de> Visitor<'de> for Entries {
-        type Value = Vec<Result<Host, Unreadable>>;
+    impl<'de> Visitor<'de> for EntriesVisitor {
+        type Value = Vec<Result<Host, InvalidEntry>>;
 
         fn expecting(&self, f: &mut Formatter<'_>) -> fmt::Result {
             f.write_str("an array of servers")
         }
 
         fn visit_seq<A: SeqAccess<'de>>(self, mut entries: A) -> Result<Self::Value, A::Error> {
-            let mut read = Vec::new();
-            while let Some(fields) = entries.next_element::<Fields>()? {
-                if read.len() == MAX_ENTRIES {
+            let mut parsed = Vec::new();
+            while let Some(entry) = entries.next_element::<RawEntry>()? {
+                if parsed.len() == MAX_ENTRIES {
                     return Err(A::Error::custom(format!("more than {MAX_ENTRIES} entries")));
                 }
-                read.push(fields.host());
+                parsed.push(entry.into_host());
             }
-            Ok(read)
+            Ok(parsed)
         }
     }
 
-    deserializer.deserialize_seq(Entries)
+    deserializer.deserialize_seq(EntriesVisitor)
 }
 
 /// The known fields of an entry, whatever they hold.
 #[derive(Default)]
-struct Fields {
+struct RawEntry {
     /// Whether the entry is an object.
     is_object: bool,
-    host: Option<Field>,
-    dial: Option<Field>,
-    site: Option<Field>,
-    class: Option<Field>,
-    block: Option<Field>,
-    health: Option<Field>,
-    share: Option<Field>,
-    born_ms: Option<Field>,
+    host: Option<RawField>,
+    dial: Option<RawField>,
+    site: Option<RawField>,
+    class: Option<RawField>,
+    block: Option<RawField>,
+    health: Option<RawField>,
+    share: Option<RawField>,
+    born_ms: Option<RawField>,
 }
 
-impl Fields {
+impl RawEntry {
     /// The place of a field; none for one that is not known.
-    fn named(&mut self, name: &str) -> Option<&mut Option<Field>> {
+    fn slot(&mut self, name: &str) -> Option<&mut Option<RawField>> {
         Some(match name {
             "host" => &mut self.host,
             "dial" => &mut self.dial,
@@ -179,43 +179,47 @@
         })
     }
 
-    fn host(self) -> Result<Host, Unreadable> {
+    fn into_host(self) -> Result<Host, InvalidEntry> {
         if !self.is_object {
-            return Err(Unreadable::default());
+            return Err(InvalidEntry::default());
         }
-        let health = self.health.as_ref().and_then(Field::text).and_then(Health::named);
-        let name = self.host.as_ref().and_then(Field::text).map(str::to_owned);
-        let fault = |field| Unreadable { host: name.clone(), health, field };
-        let text = |field: &Option<Field>| match field {
+        let health = self.health.as_ref().and_then(RawField::text).and_then(Health::from_name);
+        let name = self.host.as_ref().and_then(RawField::text).map(str::to_owned);
+        let invalid_entry = |field| InvalidEntry { host: name.clone(), health, field };
+        let text = |field: &Option<RawField>| match field {
             None => Some(String::new()),
             Some(field) => field.text().map(str::to_owned),
         };
-        let number = |field: &Option<Field>, absent| match field {
-            None => Some(absent),
+        let number = |field: &Option<RawField>, default| match field {
+            None => Some(default),
             Some(field) => field.number().filter(|number| number.is_finite()),
         };
-        let dial = self.dial.as_ref().and_then(Field::text).and_then(|dial| dial.parse().ok());
+        let dial = self.dial.as_ref().and_then(RawField::text).and_then(|dial| dial.parse().ok());
         Ok(Host {
-            host: name.clone().ok_or_else(|| fault("host"))?,
-            dial: dial.ok_or_else(|| fault("dial"))?,
-            site: text(&self.site).ok_or_else(|| fault("site"))?,
-            class: text(&self.class).ok_or_else(|| fault("class"))?,
-            block: self.block.as_ref().map_or(Some(0), Field::whole).ok_or_else(|| fault("block"))?,
-            health: health.ok_or_else(|| fault("health"))?,
-            share: number(&self.share, 1.0).ok_or_else(|| fault("share"))?,
-            born_ms: number(&self.born_ms, 0.0).ok_or_else(|| fault("born_ms"))?,
+            host: name.clone().ok_or_else(|| invalid_entry("host"))?,
+            dial: dial.ok_or_else(|| invalid_entry("dial"))?,
+            site: text(&self.site).ok_or_else(|| invalid_entry("site"))?,
+            class: text(&self.class).ok_or_else(|| invalid_entry("class"))?,
+            block: self
+                .block
+                .as_ref()
+                .map_or(Some(0), RawField::integer)
+                .ok_or_else(|| invalid_entry("block"))?,
+            health: health.ok_or_else(|| invalid_entry("health"))?,
+            share: number(&self.share, 1.0).ok_or_else(|| invalid_entry("share"))?,
+            born_ms: number(&self.born_ms, 0.0).ok_or_else(|| invalid_entry("born_ms"))?,
         })
     }
 }
 
-impl<'de> Deserialize<'de> for Fields {
-    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Fields, D::Error> {
-        deserializer.deserialize_any(AnyEntry)
+impl<'de> Deserialize<'de> for RawEntry {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<RawEntry, D::Error> {
+        deserializer.deserialize_any(EntryVisitor)
     }
 }
 
 impl Health {
-    fn named(name: &str) -> Option<Health> {
+    fn from_name(name: &str) -> Option<Health> {
         Some(match name {
             "ready" => Health::Ready,
             "draining" => Health::Draining,
@@ -226,46 +230,46 @@
 }
 
 /// What a field holds.
-enum Field {
+enum RawField {
     Text(String),
-    Whole(u64),
+    Integer(u64),
     Number(f64),
     /// Something that no known field may hold.
     Other,
 }
 
-impl Field {
+impl RawField {
     fn text(&self) -> Option<&str> {
         match self {
-            Field::Text(text) => Some(text),
+            RawField::Text(text) => Some(text),
             _ => None,
         }
     }
 
-    fn whole(&self) -> Option<u64> {
+    fn integer(&self) -> Option<u64> {
         match self {
-            Field::Whole(number) => Some(*number),
+            RawField::Integer(number) => Some(*number),
             _ => None,
         }
     }
 
     fn number(&self) -> Option<f64> {
         match self {
-            Field::Whole(number) => Some(*number as f64),
-            Field::Number(number) => Some(*number),
+            RawField::Integer(number) => Some(*number as f64),
+            RawField::Number(number) => Some(*number),
             _ => None,
         }
     }
 }
 
-impl<'de> Deserialize<'de> for Field {
-    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Field, D::Error> {
-        deserializer.deserialize_any(AnyField)
+impl<'de> Deserialize<'de> for RawField {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<RawField, D::Error> {
+        deserializer.deserialize_any(FieldVisitor)
     }
 }
 
 /// Lets a visitor take values that it has no use for.
-macro_rules! pass_over {
+macro_rules! ignore_values {
     ($other:expr; $($visit:ident($value:ty)),*) => {
         $(fn $visit<E: Error>(self, _: $value) -> Result<Self::Value, E> {
             Ok($other)
@@ -283,61 +287,61 @@
 }
 
 /// Reads an entry, whatever it is.
-struct AnyEntry;
+struct EntryVisitor;
 
-impl<'de> Visitor<'de> for AnyEntry {
-    type Value = Fields;
+impl<'de> Visitor<'de> for EntryVisitor {
+    type Value = RawEntry;
 
     fn expecting(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.write_str("a server")
     }
 
-    fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Fields, A::Error> {
-        let mut fields = Fields { is_object: true, ..Fields::default() };
+    fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<RawEntry, A::Error> {
+        let mut entry = RawEntry { is_object: true, ..RawEntry::default() };
         while let Some(name) = map.next_key::<String>()? {
-            match fields.named(&name) {
+            match entry.slot(&name) {
                 Some(field) => *field = Some(map.next_value()?),
                 None => drop(map.next_value::<IgnoredAny>()?),
             }
         }
-        Ok(fields)
+        Ok(entry)
     }
 
-    pass_over!(Fields::default(); visit_bool(bool), visit_i64(i64), visit_u64(u64), visit_f64(f64), visit_str(&str));
+    ignore_values!(RawEntry::default(); visit_bool(bool), visit_i64(i64), visit_u64(u64), visit_f64(f64), visit_str(&str));
 }
 
 /// Reads a field, whatever it holds.
-struct AnyField;
+struct FieldVisitor;
 
-impl<'de> Visitor<'de> for AnyField {
-    type Value = Field;
+impl<'de> Visitor<'de> for FieldVisitor {
+    type Value = RawField;
 
     fn expecting(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.write_str("a field of a server")
     }
 
-    fn visit_u64<E: Error>(self, number: u64) -> Result<Field, E> {
-        Ok(Field::Whole(number))
+    fn visit_u64<E: Error>(self, number: u64) -> Result<RawField, E> {
+        Ok(RawField::Integer(number))
     }
 
-    fn visit_i64<E: Error>(self, number: i64) -> Result<Field, E> {
-        Ok(Field::Number(number as f64))
+    fn visit_i64<E: Error>(self, number: i64) -> Result<RawField, E> {
+        Ok(RawField::Number(number as f64))
     }
 
-    fn visit_f64<E: Error>(self, number: f64) -> Result<Field, E> {
-        Ok(Field::Number(number))
+    fn visit_f64<E: Error>(self, number: f64) -> Result<RawField, E> {
+        Ok(RawField::Number(number))
     }
 
-    fn visit_str<E: Error>(self, text: &str) -> Result<Field, E> {
-        Ok(Field::Text(text.to_owned()))
+    fn visit_str<E: Error>(self, text: &str) -> Result<RawField, E> {
+        Ok(RawField::Text(text.to_owned()))
     }
 
-    fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Field, A::Error> {
+    fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<RawField, A::Error> {
         while map.next_entry::<IgnoredAny, IgnoredAny>()?.is_some() {}
-        Ok(Field::Other)
+        Ok(RawField::Other)
     }
 
-    pass_over!(Field::Other; visit_bool(bool));
+    ignore_values!(RawField::Other; visit_bool(bool));
 }
 
 #[cfg(test)]
--- a/crates/node/src/rosters/values.rs
+++ b/crates/node/src/rosters/json_stream.rs
@@ -1,7 +1,7 @@
 //! Cuts a stream of JSON values into values, whole or indented, however it is chunked.
 //!
-//! Where a value ends is told by `serde_json`'s stream deserializer. It cannot be fed piece by piece, and to let it try
-//! anew at each piece would cost the square of a value's length. So the brackets of each piece are counted as it comes,
+//! Where a value ends is told by `serde_json`'s stream deserializer. It cannot be fed chunk by chunk, and to let it try
+//! anew at each chunk would cost the square of a value's length. So the brackets of each chunk are counted as it comes,
 //! which looks at each byte once, and the deserializer is let at what has come only when all that were opened are closed.
 
 use std::marker::PhantomData;
@@ -11,42 +11,42 @@
 use serde::de::DeserializeOwned;
 
 /// The longest value: thousands of hosts. One that never ends must not fill the memory.
-pub const VALUE_BYTES: usize = 2 << 20;
+pub const MAX_VALUE_BYTES: usize = 2 << 20;
 
 /// What has come of a stream of values and is not taken out yet.
-pub struct Values<T> {
+pub struct JsonStream<T> {
     buffer: BytesMut,
     /// Brackets that are open.
     depth: usize,
-    quoted: bool,
+    in_string: bool,
     escaped: bool,
     values: PhantomData<T>,
 }
 
-impl<T> Default for Values<T> {
-    fn default() -> Values<T> {
+impl<T> Default for JsonStream<T> {
+    fn default() -> JsonStream<T> {
         let buffer = BytesMut::new();
-        Values { buffer, depth: 0, quoted: false, escaped: false, values: PhantomData }
+        JsonStream { buffer, depth: 0, in_string: false, escaped: false, values: PhantomData }
     }
 }
 
-impl<T: DeserializeOwned> Values<T> {
-    /// Takes in the next piece; the values that it completes.
+impl<T: DeserializeOwned> JsonStream<T> {
+    /// Takes in the next chunk; the values that it completes.
     ///
     /// # Errors
     ///
-    /// What has come can never become values of this kind, or one is longer than [`VALUE_BYTES`].
-    pub fn push(&mut self, piece: &[u8]) -> Result<Vec<T>> {
-        if self.buffer.len() + piece.len() > VALUE_BYTES {
-            bail!("a value is longer than {VALUE_BYTES} bytes");
+    /// What has come can never become values of this kind, or one is longer than [`MAX_VALUE_BYTES`].
+    pub fn push(&mut self, chunk: &[u8]) -> Result<Vec<T>> {
+        if self.buffer.len() + chunk.len() > MAX_VALUE_BYTES {
+            bail!("a value is longer than {MAX_VALUE_BYTES} bytes");
         }
-        self.buffer.extend_from_slice(piece);
-        let mut closed = false;
-        for byte in piece {
-            closed |= self.closes(*byte);
+        self.buffer.extend_from_slice(chunk);
+        let mut may_be_complete = false;
+        for byte in chunk {
+            may_be_complete |= self.may_end_value(*byte);
         }
-        if !closed {
-            self.skip_space();
+        if !may_be_complete {
+            self.skip_whitespace();
             return Ok(Vec::new());
         }
         let mut stream = serde_json::Deserializer::from_slice(&self.buffer).into_iter::<T>();
@@ -60,30 +60,30 @@
             end = stream.byte_offset();
         }
         self.buffer.advance(end);
-        self.skip_space();
+        self.skip_whitespace();
         Ok(values)
     }
 
     /// Whether a value has begun that is not whole yet.
-    pub fn is_inside(&self) -> bool {
+    pub fn has_partial_value(&self) -> bool {
         !self.buffer.is_empty()
     }
 
     /// Space between values is no part of one.
-    fn skip_space(&mut self) {
-        let space = self.buffer.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
-        self.buffer.advance(space);
+    fn skip_whitespace(&mut self) {
+        let whitespace_len = self.buffer.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
+        self.buffer.advance(whitespace_len);
     }
 
     /// Counts a byte's brackets; whether a value may end with it.
-    fn closes(&mut self, byte: u8) -> bool {
-        if self.quoted {
-            self.quoted = self.escaped || byte != b'"';
+    fn may_end_value(&mut self, byte: u8) -> bool {
+        if self.in_string {
+            self.in_string = self.escaped || byte != b'"';
             self.escaped = !self.escaped && byte == b'\\';
             return false;
         }
         match byte {
-            b'"' => self.quoted = true,
+            b'"' => self.in_string = true,
             b'{' | b'[' => self.depth += 1,
             b'}' | b']' => {
                 self.depth = self.depth.saturating_sub(1);
--- a/crates/node/src/rosters/mod.rs
+++ b/crates/node/src/rosters/mod.rs
@@ -2,5 +2,5 @@
 
 pub mod discovery;
 pub mod host_list;
+mod json_stream;
 mod source_clock;
-mod values;
