--- a/crates/node/src/rosters/discovery.rs
+++ b/crates/node/src/rosters/discovery.rs
@@ -1,4 +1,7 @@
-//! The platform's discovery: reads the list of upstreams and its changes, and tells the engine.
+//! Client of the platform's discovery service.
+//!
+//! It holds a watch open on the service's HTTP endpoint, decodes the lists of upstreams and the changes that
+//! arrive on it, and passes them to the engine. [`listclock`] decides when to call and when to give up.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -26,22 +29,23 @@
 use crate::rosters::source_clock::clock_reading;
 use crate::socket::{self, ConnectError, Stream, SystemCalls};
 
-/// Where this machine cannot open a connection, the next try comes so much later...
+/// The wait before the first retry when this machine cannot open a connection. It doubles with each retry.
 const MIN_CONNECT_BACKOFF: Duration = Duration::from_millis(5);
-/// ...then twice as much each time, up to this.
+/// The longest wait between two such retries.
 const MAX_CONNECT_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Discovery at an address.
+/// The platform's discovery service at a given address.
 pub struct PlatformDiscovery {
-    /// Where it listens.
+    /// The address on which the service listens.
     pub address: SocketAddr,
-    /// Whether and how often it must be asked.
+    /// The longest time that the platform allows a sidecar between two calls of discovery, in milliseconds.
+    /// `None` where the service pushes its lists.
     pub must_ask_in: Option<Millis>,
-    /// For the waits between calls.
+    /// Seeds the random waits between calls.
     pub seed: u64,
-    /// What its sockets are opened with.
+    /// The system calls that open and use the sockets.
     pub system_calls: Arc<dyn SystemCalls>,
-    /// Where its news go.
+    /// Receives the lists and the changes of reachability.
     pub events: DiscoveryEvents,
 }
 
@@ -60,7 +64,7 @@
             let clock = Clock::new(rules, start, seed, 0.0);
             let pace = events.pace();
             let epoch = Instant::now();
-            let watch = WatchTask {
+            let task = WatchTask {
                 address,
                 system_calls,
                 version: from,
@@ -70,38 +74,41 @@
                 retired,
                 replaced,
                 pace,
-                reach: None,
+                reachability: None,
                 last_contact: None,
             };
-            watch.run()
+            task.run()
         })
     }
 }
 
-/// Where a watch starts from and what it tells.
+/// The state of a subscription's task: it calls discovery, reads the watch, and calls again when the watch
+/// ends.
 struct WatchTask {
     address: SocketAddr,
     system_calls: Arc<dyn SystemCalls>,
-    /// The version that the sidecar has, 0 if the whole list is wanted. What a watch that ends has not told comes after
-    /// it, so that the next one tells it.
+    /// The version of the list that the sidecar has. With 0 the next call requests the complete list. A
+    /// change that the current watch does not deliver before it ends has a later version, so that the next
+    /// watch delivers it.
     version: u64,
     events: DiscoveryEvents,
     clock: Clock,
-    /// The clock's 0.
+    /// The instant that is 0 on `clock`.
     epoch: Instant,
-    /// Whether it may call no more.
+    /// Set when this subscription is retired: the task then starts no new call.
     retired: Arc<AtomicBool>,
-    /// What was followed before and is let go at the first list: the new discovery may not be up yet.
+    /// The subscription that this one replaces. It is dropped only when the first list arrives, because the
+    /// new discovery service may not be up yet.
     replaced: Option<Subscription>,
-    /// How eagerly it is asked, where a fleet decides on it.
+    /// How often discovery is called, where the cluster decides that.
     pace: Option<watch::Receiver<Pace>>,
-    /// Whether discovery answers, as it was told last.
-    reach: Option<Reach>,
-    /// When it said last, by a list or by an empty line behind one, how its list stands.
+    /// The reachability last reported to the engine.
+    reachability: Option<Reach>,
+    /// When a watch last confirmed the state of the list: by a list, or by an empty line after one.
     last_contact: Option<Instant>,
 }
 
-/// The next change of the pace; never where no fleet decides on it.
+/// Waits for the next change of the pace. Never returns if no cluster sets it, or once its sender is gone.
 async fn next_pace(pace: &mut Option<watch::Receiver<Pace>>) -> Pace {
     if let Some(pace) = pace
         && pace.changed().await.is_ok()
@@ -111,8 +118,8 @@
     std::future::pending().await
 }
 
-/// Connects, and tries again where it is this machine that cannot: that is no fault of discovery's. Whoever calls this
-/// bounds how long.
+/// Connects to discovery. Retries with exponential backoff as long as the cause is on this machine, because
+/// such a failure is no fault of discovery. The caller bounds the total time.
 async fn connect(
     system_calls: &Arc<dyn SystemCalls>,
     address: SocketAddr,
@@ -141,7 +148,8 @@
 }
 
 impl WatchTask {
-    /// Calls and watches as the clock says.
+    /// Calls discovery and reads the watch whenever the clock says so, until the engine ends or the
+    /// subscription retires.
     async fn run(mut self) {
         while !self.events.is_closed() {
             let due = self.clock.due().and_then(|due| self.instant(due));
@@ -157,7 +165,8 @@
             }
             if self.clock.poll(self.millis()) == Some(Command::Call) {
                 let Err(end) = self.call().await;
-                // Before it is answered a call has failed; after it, the next call shows whether discovery is there.
+                // A call that ends before its answer has failed, so that discovery counts as down. When a
+                // watch ends after the answer, only the next call shows whether discovery is reachable.
                 if self.clock.is_calling() {
                     self.update_reachability(Reach::Down);
                 }
@@ -167,16 +176,18 @@
         }
     }
 
+    /// The current time on the clock.
     fn millis(&self) -> Millis {
         self.epoch.elapsed().as_secs_f64() * 1e3
     }
 
-    /// A point on the clock; nothing where it is too far away for one.
+    /// Converts a time on the clock to an `Instant`. `None` if it is too far in the future to be one.
     fn instant(&self, at: Millis) -> Option<Instant> {
         self.epoch.checked_add(Duration::try_from_secs_f64(at / 1e3).ok()?)
     }
 
-    /// Waits for something on a call or a watch, as long as the clock lets it.
+    /// Waits for a step of a call or a watch until the clock gives up. Then it reports discovery as down and
+    /// fails.
     async fn wait_for<T>(
         &mut self,
         timeout_message: &'static str,
@@ -184,7 +195,11 @@
     ) -> Result<T> {
         let mut future = pin!(future);
         loop {
-            let due = self.clock.due().and_then(|due| self.instant(due)).context("no time for it")?;
+            let due = self
+                .clock
+                .due()
+                .and_then(|due| self.instant(due))
+                .context("the clock sets no deadline for the call")?;
             if let Ok(output) = timeout_at(due, &mut future).await {
                 return Ok(output);
             }
@@ -195,12 +210,13 @@
         }
     }
 
+    /// Makes one call and reads its watch until it ends. Returns only with an error.
     async fn call(&mut self) -> Result<Infallible> {
         const TIMED_OUT: &str = "no answer in time";
         let system_calls = self.system_calls.clone();
         let stream = self.wait_for(TIMED_OUT, connect(&system_calls, self.address)).await??;
         let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
-        // It ends with this call.
+        // Dropping the set at the end of this call aborts the connection's task.
         let mut tasks = JoinSet::new();
         tasks.spawn(connection);
         let request = Request::get(format!("/discovery/hosts?watch=1&from={}", self.version))
@@ -209,17 +225,22 @@
         let requested_at = Instant::now();
         let response = self.wait_for(TIMED_OUT, sender.send_request(request)).await??;
         if response.status() != StatusCode::OK {
-            bail!("answered {}", response.status());
+            bail!("answered with status {}", response.status());
         }
         self.clock.observe(self.millis(), ListEvent::Answered);
         self.update_reachability(Reach::Up);
-        // It is told once, with the watch's first list.
+        // Delivered once, with the first list of the watch.
         let mut source_clock = clock_reading(response.headers(), requested_at);
         let mut has_delivered = false;
         let mut body = response.into_body();
         let mut json_stream = JsonStream::default();
         loop {
-            let frame = self.wait_for("the watch fell silent, or a list has no end", body.frame()).await?;
+            let frame = self
+                .wait_for(
+                    "the watch timed out: no list or empty line came, or a list is incomplete",
+                    body.frame(),
+                )
+                .await?;
             let frame = frame.context("the watch ended")??;
             let Ok(chunk) = frame.into_data() else { continue };
             let lists = json_stream.push(&chunk).inspect_err(|_| self.version = 0)?;
@@ -230,7 +251,7 @@
             if json_stream.has_partial_value() {
                 self.clock.observe(now, ListEvent::Part);
             } else if lists.is_empty() && chunk.contains(&b'\n') {
-                // An empty line between lists. Other space there says nothing.
+                // An empty line between lists is a keep-alive. Other whitespace there is not.
                 self.clock.observe(now, ListEvent::KeepAlive);
             }
             for list in &lists {
@@ -243,25 +264,27 @@
         }
     }
 
-    /// Tells whether discovery answers, whenever that changes.
-    fn update_reachability(&mut self, reach: Reach) {
-        if self.reach.replace(reach) != Some(reach) {
-            self.events.reachability_changed(reach);
+    /// Records whether discovery is reachable, and reports each change to the engine.
+    fn update_reachability(&mut self, reachability: Reach) {
+        if self.reachability.replace(reachability) != Some(reachability) {
+            self.events.reachability_changed(reachability);
         }
     }
 
+    /// Passes a list to the engine. Rejects changes that are older than the version that the sidecar has.
     fn deliver(&mut self, list: &HostList, source_clock: Option<ClockReading>) -> Result<()> {
-        // A discovery that has lost its memory counts anew: its whole list holds. Changes before what is held are
-        // changes of something else.
+        // A discovery service that has lost its state restarts its version numbers, so that a complete list
+        // is valid with any version. Changes with a version below the sidecar's do not apply to the list that
+        // the sidecar has.
         if list.seq < self.version && !list.whole {
             let version = std::mem::take(&mut self.version);
-            bail!("changes up to {} came after {version}", list.seq);
+            bail!("received changes up to version {}, but already at version {version}", list.seq);
         }
         let list = List { previous_contact: self.last_contact, source_clock, ..list.to_list() };
         self.version = list.resume_from;
         self.replaced = None;
         if !self.events.list_received(list) {
-            bail!("the engine has ended");
+            bail!("the engine has stopped");
         }
         Ok(())
     }
--- a/crates/node/src/rosters/host_list.rs
+++ b/crates/node/src/rosters/host_list.rs
@@ -1,6 +1,8 @@
-//! A list of servers in discovery's form. Entries are decoded one by one: one that cannot be read does not take the
-//! others with it. What an entry holds beside its known fields is passed over without being kept, so that a list costs
-//! memory by the servers that it names alone.
+//! Decodes a list of servers from the JSON format of the platform's discovery.
+//!
+//! Entries are decoded one by one, so that an invalid entry does not make the others unusable. Unknown fields
+//! are skipped without being stored, so that the memory of a list depends only on the number of servers in
+//! it.
 
 use std::fmt::{self, Formatter};
 use std::net::SocketAddr;
@@ -11,67 +13,68 @@
 use crate::engine::{Entry, List};
 use crate::log;
 
-/// The longest list, in entries. One that is longer is refused whole.
+/// The maximum number of entries in a list. A longer list is rejected as a whole.
 pub const MAX_ENTRIES: usize = 8_192;
 
-/// A list, or what changed in it, in discovery's form.
+/// A list, or a set of changes to one, in discovery's format.
 #[derive(Debug, Deserialize)]
 pub struct HostList {
-    /// Its version.
+    /// The version of the list; for changes, the version that they lead to.
     pub seq: u64,
-    /// Whether it is complete.
+    /// Whether this is the complete list rather than a set of changes.
     #[serde(default)]
     pub whole: bool,
-    /// Its entries, as far as they could be read.
+    /// The entries, each decoded or marked as invalid.
     #[serde(deserialize_with = "deserialize_bounded_entries")]
     hosts: Vec<Result<Host, InvalidEntry>>,
 }
 
-/// A server as discovery tells it.
+/// A server in discovery's format.
 #[derive(Debug, Clone)]
 struct Host {
-    /// Its name, the same at every sidecar.
+    /// The name of the server, the same at every sidecar.
     host: String,
-    /// Where it listens.
+    /// The address on which it listens.
     dial: SocketAddr,
-    /// Its zone.
+    /// The name of its zone.
     site: String,
-    /// Its kind of machine.
+    /// The name of its kind of machine.
     class: String,
-    /// Its cell.
+    /// The number of its cell.
     block: u64,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     health: Health,
-    /// Its size compared with others.
+    /// Its capacity relative to other servers.
     share: f64,
-    /// When it last started, in Unix milliseconds; 0 for long ago.
+    /// When it last started, in Unix milliseconds. 0 stands for long ago.
     born_ms: f64,
 }
 
-/// Whether a server takes new work.
+/// The state of a server in its lifecycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Health {
-    /// It does.
+    /// It accepts new requests.
     Ready,
-    /// It finishes what it has.
+    /// It finishes its requests in flight and accepts no new ones.
     Draining,
-    /// It is no more.
+    /// It no longer exists.
     Gone,
 }
 
-/// An entry that cannot be read, and what can be made out of it.
+/// What could be decoded of an invalid entry.
 #[derive(Debug, Default)]
 struct InvalidEntry {
-    /// The server's name.
+    /// The name of the server, if it is valid.
     host: Option<String>,
-    /// Whether the server takes new work.
+    /// The state of the server, if it is valid.
     health: Option<Health>,
-    /// The field at fault; empty where the entry is no object.
+    /// The first invalid or missing field. Empty if the entry is not an object.
     field: &'static str,
 }
 
 impl HostList {
-    /// The list in the engine's terms. Entries that cannot be read are logged, in one line, and left out.
+    /// Converts the list to the engine's type. Invalid entries are left out of its entries and logged in a
+    /// single line. The names of their servers, where known, go into its `draining` or `unparsed`.
     pub fn to_list(&self) -> List {
         let mut list = List { version: self.seq, complete: self.whole, ..List::default() };
         for entry in &self.hosts {
@@ -91,17 +94,19 @@
         list
     }
 
-    /// Whether changes that come after it can build on it: all of it was read, and there is something in it.
+    /// Whether later changes can apply to this list: every entry is valid, and it is not a complete list
+    /// without entries.
     fn is_valid_base(&self) -> bool {
         self.hosts.iter().all(Result::is_ok) && !(self.whole && self.hosts.is_empty())
     }
 
+    /// Logs the first invalid entry and the number of the others.
     fn log_invalid_entries(&self) {
         let mut invalid = self.hosts.iter().filter_map(|entry| entry.as_ref().err());
         let Some(InvalidEntry { host, field, .. }) = invalid.next() else { return };
         let (name, others) = (host.as_deref().unwrap_or("an entry without a name"), invalid.count());
-        let reason = if field.is_empty() { "it is no object" } else { field };
-        log::line(format!("discovery: {name} cannot be read ({reason}), nor {others} other entries"));
+        let reason = if field.is_empty() { "it is not an object" } else { field };
+        log::line(format!("discovery: {name} cannot be parsed ({reason}), nor can {others} other entries"));
     }
 }
 
@@ -120,7 +125,7 @@
     }
 }
 
-/// Reads the entries, and refuses more than [`MAX_ENTRIES`].
+/// Decodes the entries, and fails if there are more than [`MAX_ENTRIES`].
 fn deserialize_bounded_entries<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Vec<Result<Host, InvalidEntry>>, D::Error> {
@@ -148,7 +153,7 @@
     deserializer.deserialize_seq(EntriesVisitor)
 }
 
-/// The known fields of an entry, whatever they hold.
+/// The known fields of an entry as they were read, with values of any type.
 #[derive(Default)]
 struct RawEntry {
     /// Whether the entry is an object.
@@ -164,7 +169,7 @@
 }
 
 impl RawEntry {
-    /// The place of a field; none for one that is not known.
+    /// The slot that stores a field. `None` if the field is unknown.
     fn slot(&mut self, name: &str) -> Option<&mut Option<RawField>> {
         Some(match name {
             "host" => &mut self.host,
@@ -179,6 +184,7 @@
         })
     }
 
+    /// Validates the fields and applies the defaults of those that are absent.
     fn into_host(self) -> Result<Host, InvalidEntry> {
         if !self.is_object {
             return Err(InvalidEntry::default());
@@ -219,6 +225,7 @@
 }
 
 impl Health {
+    /// Parses the name that discovery gives to a state. `None` if it is unknown.
     fn from_name(name: &str) -> Option<Health> {
         Some(match name {
             "ready" => Health::Ready,
@@ -229,16 +236,17 @@
     }
 }
 
-/// What a field holds.
+/// The value of a field.
 enum RawField {
     Text(String),
     Integer(u64),
     Number(f64),
-    /// Something that no known field may hold.
+    /// A value of a type that is valid for no known field.
     Other,
 }
 
 impl RawField {
+    /// The value as a string, if it is one.
     fn text(&self) -> Option<&str> {
         match self {
             RawField::Text(text) => Some(text),
@@ -246,6 +254,7 @@
         }
     }
 
+    /// The value as an unsigned integer, if it is one.
     fn integer(&self) -> Option<u64> {
         match self {
             RawField::Integer(number) => Some(*number),
@@ -253,6 +262,7 @@
         }
     }
 
+    /// The value as a floating-point number, if it is a number.
     fn number(&self) -> Option<f64> {
         match self {
             RawField::Integer(number) => Some(*number as f64),
@@ -268,7 +278,8 @@
     }
 }
 
-/// Lets a visitor take values that it has no use for.
+/// Implements the visitor methods for values that carry no usable data: they consume the value and return
+/// `$other`.
 macro_rules! ignore_values {
     ($other:expr; $($visit:ident($value:ty)),*) => {
         $(fn $visit<E: Error>(self, _: $value) -> Result<Self::Value, E> {
@@ -286,7 +297,7 @@
     };
 }
 
-/// Reads an entry, whatever it is.
+/// Reads an entry of any JSON type. One that is not an object has no fields.
 struct EntryVisitor;
 
 impl<'de> Visitor<'de> for EntryVisitor {
@@ -310,7 +321,7 @@
     ignore_values!(RawEntry::default(); visit_bool(bool), visit_i64(i64), visit_u64(u64), visit_f64(f64), visit_str(&str));
 }
 
-/// Reads a field, whatever it holds.
+/// Reads the value of a field, of any JSON type.
 struct FieldVisitor;
 
 impl<'de> Visitor<'de> for FieldVisitor {
--- a/crates/node/src/rosters/json_stream.rs
+++ b/crates/node/src/rosters/json_stream.rs
@@ -1,8 +1,9 @@
-//! Cuts a stream of JSON values into values, whole or indented, however it is chunked.
+//! Splits a stream of concatenated JSON values into values, independently of its chunks and of whitespace.
 //!
-//! Where a value ends is told by `serde_json`'s stream deserializer. It cannot be fed chunk by chunk, and to let it try
-//! anew at each chunk would cost the square of a value's length. So the brackets of each chunk are counted as it comes,
-//! which looks at each byte once, and the deserializer is let at what has come only when all that were opened are closed.
+//! `serde_json`'s stream deserializer finds the end of each value. It cannot be fed chunk by chunk, and
+//! running it again from the start of the value at each chunk would take time quadratic in the length of the
+//! value. So brackets are counted as the chunks arrive, which looks at each byte once. The deserializer runs
+//! on the buffer only when all open brackets have been closed.
 
 use std::marker::PhantomData;
 
@@ -10,15 +11,18 @@
 use bytes::{Buf, BytesMut};
 use serde::de::DeserializeOwned;
 
-/// The longest value: thousands of hosts. One that never ends must not fill the memory.
+/// The maximum length of a value. It has room for thousands of hosts, and it bounds the memory that a value
+/// without an end can take.
 pub const MAX_VALUE_BYTES: usize = 2 << 20;
 
-/// What has come of a stream of values and is not taken out yet.
+/// Incremental decoder for a stream of JSON values. It buffers the bytes of a value until it is complete.
 pub struct JsonStream<T> {
     buffer: BytesMut,
-    /// Brackets that are open.
+    /// The number of open brackets.
     depth: usize,
+    /// Whether the last byte is inside a string.
     in_string: bool,
+    /// Whether the last byte is a backslash that escapes the next one.
     escaped: bool,
     values: PhantomData<T>,
 }
@@ -31,11 +35,12 @@
 }
 
 impl<T: DeserializeOwned> JsonStream<T> {
-    /// Takes in the next chunk; the values that it completes.
+    /// Adds the next chunk to the buffer. Returns the values that it completes.
     ///
     /// # Errors
     ///
-    /// What has come can never become values of this kind, or one is longer than [`MAX_VALUE_BYTES`].
+    /// Fails if the buffer cannot be the beginning of values of type `T`, or if it would exceed
+    /// [`MAX_VALUE_BYTES`].
     pub fn push(&mut self, chunk: &[u8]) -> Result<Vec<T>> {
         if self.buffer.len() + chunk.len() > MAX_VALUE_BYTES {
             bail!("a value is longer than {MAX_VALUE_BYTES} bytes");
@@ -55,7 +60,7 @@
             match value {
                 Ok(value) => values.push(value),
                 Err(error) if error.is_eof() => break,
-                Err(error) => return Err(error).context("a value cannot be read"),
+                Err(error) => return Err(error).context("a value cannot be parsed"),
             }
             end = stream.byte_offset();
         }
@@ -64,18 +69,19 @@
         Ok(values)
     }
 
-    /// Whether a value has begun that is not whole yet.
+    /// Whether the buffer holds the beginning of a value that is not complete yet.
     pub fn has_partial_value(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Space between values is no part of one.
+    /// Removes the whitespace between values from the start of the buffer.
     fn skip_whitespace(&mut self) {
         let whitespace_len = self.buffer.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
         self.buffer.advance(whitespace_len);
     }
 
-    /// Counts a byte's brackets; whether a value may end with it.
+    /// Updates the bracket count and the string state for a byte. Returns whether a value may end with this
+    /// byte.
     fn may_end_value(&mut self, byte: u8) -> bool {
         if self.in_string {
             self.in_string = self.escaped || byte != b'"';
@@ -89,7 +95,7 @@
                 self.depth = self.depth.saturating_sub(1);
                 return self.depth == 0;
             }
-            // No list begins with it: the deserializer will say so.
+            // No list begins with such a byte. The deserializer returns the error.
             _ => return self.depth == 0 && !byte.is_ascii_whitespace(),
         }
         false
--- a/crates/node/src/rosters/mod.rs
+++ b/crates/node/src/rosters/mod.rs
@@ -1,4 +1,5 @@
-//! Where the list of upstreams comes from. Each source implements [`crate::engine::DiscoverySource`].
+//! Discovery sources: they fetch the list of upstreams and pass it to the engine. Each one implements
+//! [`crate::engine::DiscoverySource`].
 
 pub mod discovery;
 pub mod host_list;
--- a/crates/node/src/rosters/source_clock.rs
+++ b/crates/node/src/rosters/source_clock.rs
@@ -1,4 +1,4 @@
-//! What a source's clock shows, by the `Date` header of its answers.
+//! Reads the clock of a discovery source from the `Date` header of its answers.
 
 use std::time::UNIX_EPOCH;
 
@@ -7,8 +7,8 @@
 
 use crate::engine::ClockReading;
 
-/// The clock of a source that was asked at `asked_at` and has just answered with these headers; nothing where it has no
-/// `Date`, or one that cannot be read.
+/// Reads the source's clock from the headers of an answer that has just arrived to a request sent at
+/// `asked_at`. Returns `None` if the `Date` header is missing or cannot be parsed.
 pub fn clock_reading(headers: &HeaderMap, asked_at: Instant) -> Option<ClockReading> {
     let date = httpdate::parse_http_date(headers.get(DATE)?.to_str().ok()?).ok()?;
     let since_1970 = date.duration_since(UNIX_EPOCH).ok()?;
