--- a/crates/node/src/rosters/source_clock/tests.rs
+++ b/crates/node/src/rosters/source_clock/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn a_date_is_read_in_unix_milliseconds() {
+fn the_date_header_is_converted_to_unix_milliseconds() {
     let asked_at = Instant::now();
     let reading = clock_reading(&headers("Sun, 06 Nov 1994 08:49:37 GMT"), asked_at).expect("a reading");
     assert_eq!(reading.unix_ms, 784_111_777_000.0);
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn no_date_and_one_that_cannot_be_read_tell_nothing() {
+fn a_missing_or_invalid_date_gives_no_reading() {
     assert_eq!(clock_reading(&HeaderMap::new(), Instant::now()), None);
     for date in ["", "now", "Sun, 99 Nov 1994 08:49:37 GMT"] {
         assert_eq!(clock_reading(&headers(date), Instant::now()), None, "{date:?}");
