--- a/crates/node/src/rosters/discovery.rs
+++ b/crates/node/src/rosters/discovery.rs
@@ -1,4 +1,7 @@
-//! The platform's discovery: reads the list of upstreams and its changes, and tells the engine.
+//! Client of the platform's discovery service.
+//!
+//! It holds a watch open on the service's HTTP endpoint, decodes the lists of upstreams and the changes that
+//! arrive on it, and passes them to the engine. [`listclock`] decides when to call and when to give up.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -22,87 +25,91 @@
 use crate::engine::{ClockReading, DiscoveryEvents, DiscoverySource, List, Subscription, SubscriptionStart};
 use crate::log;
 use crate::rosters::host_list::HostList;
+use crate::rosters::json_stream::JsonStream;
 use crate::rosters::source_clock::clock_reading;
-use crate::rosters::values::Values;
 use crate::socket::{self, ConnectError, Stream, SystemCalls};
 
-/// Where this machine cannot open a connection, the next try comes so much later...
-const FIRST_CONNECT_RETRY: Duration = Duration::from_millis(5);
-/// ...then twice as much each time, up to this.
-const LAST_CONNECT_RETRY: Duration = Duration::from_millis(100);
+/// The wait before the first retry when this machine cannot open a connection. It doubles with each retry.
+const MIN_CONNECT_BACKOFF: Duration = Duration::from_millis(5);
+/// The longest wait between two such retries.
+const MAX_CONNECT_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Discovery at an address.
-pub struct Source {
-    /// Where it listens.
+/// The platform's discovery service at a given address.
+pub struct PlatformDiscovery {
+    /// The address on which the service listens.
     pub address: SocketAddr,
-    /// Whether and how often it must be asked.
+    /// The longest time that the platform allows a sidecar between two calls of discovery, in milliseconds.
+    /// `None` where the service pushes its lists.
     pub must_ask_in: Option<Millis>,
-    /// For the waits between calls.
+    /// Seeds the random waits between calls.
     pub seed: u64,
-    /// What its sockets are opened with.
+    /// The system calls that open and use the sockets.
     pub system_calls: Arc<dyn SystemCalls>,
-    /// Where its news go.
-    pub news: DiscoveryEvents,
+    /// Receives the lists and the changes of reachability.
+    pub events: DiscoveryEvents,
 }
 
-impl DiscoverySource for Source {
+impl DiscoverySource for PlatformDiscovery {
     fn subscribe(&self, from: u64, start: SubscriptionStart) -> Subscription {
-        let (start, before) = match start {
+        let (start, replaced) = match start {
             SubscriptionStart::NoList => (listclock::Start::Empty, None),
             SubscriptionStart::HasList => (listclock::Start::Known, None),
-            SubscriptionStart::Replaces(before) => (listclock::Start::Moved, before),
+            SubscriptionStart::Replaces(replaced) => (listclock::Start::Moved, replaced),
         };
-        before.iter().for_each(Subscription::retire);
+        replaced.iter().for_each(Subscription::retire);
         let rules = Rules { must_ask_in: self.must_ask_in, can_fall_silent: true };
-        let (address, news, seed) = (self.address, self.news.clone(), self.seed);
+        let (address, events, seed) = (self.address, self.events.clone(), self.seed);
         let system_calls = self.system_calls.clone();
         Subscription::spawn(move |retired| {
             let clock = Clock::new(rules, start, seed, 0.0);
-            let pace = news.pace();
+            let pace = events.pace();
             let epoch = Instant::now();
-            let watch = Watch {
+            let task = WatchTask {
                 address,
                 system_calls,
                 version: from,
-                news,
+                events,
                 clock,
                 epoch,
                 retired,
-                before,
+                replaced,
                 pace,
-                reach: None,
-                heard_at: None,
+                reachability: None,
+                last_contact: None,
             };
-            watch.keep()
+            task.run()
         })
     }
 }
 
-/// Where a watch starts from and what it tells.
-struct Watch {
+/// The state of a subscription's task: it calls discovery, reads the watch, and calls again when the watch
+/// ends.
+struct WatchTask {
     address: SocketAddr,
     system_calls: Arc<dyn SystemCalls>,
-    /// The version that the sidecar has, 0 if the whole list is wanted. What a watch that ends has not told comes after
-    /// it, so that the next one tells it.
+    /// The version of the list that the sidecar has. With 0 the next call requests the complete list. A
+    /// change that the current watch does not deliver before it ends has a later version, so that the next
+    /// watch delivers it.
     version: u64,
-    news: DiscoveryEvents,
+    events: DiscoveryEvents,
     clock: Clock,
-    /// The clock's 0.
+    /// The instant that is 0 on `clock`.
     epoch: Instant,
-    /// Whether it may call no more.
+    /// Set when this subscription is retired: the task then starts no new call.
     retired: Arc<AtomicBool>,
-    /// What was followed before and is let go at the first list: the new discovery may not be up yet.
-    before: Option<Subscription>,
-    /// How eagerly it is asked, where a fleet decides on it.
+    /// The subscription that this one replaces. It is dropped only when the first list arrives, because the
+    /// new discovery service may not be up yet.
+    replaced: Option<Subscription>,
+    /// How often discovery is called, where the cluster decides that.
     pace: Option<watch::Receiver<Pace>>,
-    /// Whether discovery answers, as it was told last.
-    reach: Option<Reachability>,
-    /// When it said last, by a list or by an empty line behind one, how its list stands.
-    heard_at: Option<Instant>,
+    /// The reachability last reported to the engine.
+    reachability: Option<Reachability>,
+    /// When a watch last confirmed the state of the list: by a list, or by an empty line after one.
+    last_contact: Option<Instant>,
 }
 
-/// The next change of the pace; never where no fleet decides on it.
-async fn changed(pace: &mut Option<watch::Receiver<Pace>>) -> Pace {
+/// Waits for the next change of the pace. Never returns if no cluster sets it, or once its sender is gone.
+async fn next_pace(pace: &mut Option<watch::Receiver<Pace>>) -> Pace {
     if let Some(pace) = pace
         && pace.changed().await.is_ok()
     {
@@ -111,22 +118,23 @@
     std::future::pending().await
 }
 
-/// Connects, and tries again where it is this machine that cannot: that is no fault of discovery's. Whoever calls this
-/// bounds how long.
+/// Connects to discovery. Retries with exponential backoff as long as the cause is on this machine, because
+/// such a failure is no fault of discovery. The caller bounds the total time.
 async fn connect(
     system_calls: &Arc<dyn SystemCalls>,
     address: SocketAddr,
 ) -> std::result::Result<Stream, ConnectError> {
-    let mut retry = FIRST_CONNECT_RETRY;
+    let mut backoff = MIN_CONNECT_BACKOFF;
     loop {
         match socket::connect(system_calls, address).await {
             Err(error) if error.is_local() => {
-                if retry == FIRST_CONNECT_RETRY {
-                    let lacking = if is_out_of_descriptors(&error) { "a descriptor" } else { "a connection" };
-                    log::line(format!("discovery: waiting for {lacking}: {error}"));
+                if backoff == MIN_CONNECT_BACKOFF {
+                    let resource =
+                        if is_out_of_descriptors(&error) { "a descriptor" } else { "a connection" };
+                    log::line(format!("discovery: waiting for {resource}: {error}"));
                 }
-                sleep(retry).await;
-                retry = LAST_CONNECT_RETRY.min(retry * 2);
+                sleep(backoff).await;
+                backoff = MAX_CONNECT_BACKOFF.min(backoff * 2);
             }
             result => return result,
         }
@@ -139,26 +147,22 @@
     matches!(error.raw_os_error(), Some(libc::ENFILE | libc::EMFILE))
 }
 
-impl Watch {
-    /// Calls and watches as the clock says.
-    async fn keep(mut self) {
-        while !self.news.is_closed() {
+impl WatchTask {
+    /// Calls discovery and reads the watch whenever the clock says so, until the engine ends or the
+    /// subscription retires.
+    async fn run(mut self) {
+        while !self.events.is_closed() {
             let due = self.clock.due().and_then(|due| self.instant(due));
-            tokio::select! {
-                () = sleep_until(due.unwrap_or_else(|| Instant::now() + Duration::from_secs(60))) => {}
-                pace = changed(&mut self.pace) => {
-                    self.clock.ask(self.millis(), pace);
-                    continue;
-                }
-            }
+            tokio::select! { ( ) = sleep_until ( due . unwrap_or_else ( || Instant :: now ( ) + Duration :: from_secs ( 60 ) ) ) => { } pace = next_pace ( & mut self . pace ) => { self . clock . ask ( self . millis ( ) , pace ) ; continue ; } }
             if self.retired.load(Ordering::Relaxed) {
                 return;
             }
             if self.clock.poll(self.millis()) == Some(Command::Call) {
-                let Err(end) = self.once().await;
-                // Before it is answered a call has failed; after it, the next call shows whether discovery is there.
+                let Err(end) = self.call().await;
+                // A call that ends before its answer has failed, so that discovery counts as down. When a
+                // watch ends after the answer, only the next call shows whether discovery is reachable.
                 if self.clock.is_calling() {
-                    self.reach(Reachability::Down);
+                    self.update_reachability(Reachability::Down);
                 }
                 self.clock.observe(self.millis(), ListEvent::Ended);
                 log::line(format!("discovery: {end:#}"));
@@ -166,97 +170,115 @@
         }
     }
 
+    /// The current time on the clock.
     fn millis(&self) -> Millis {
         self.epoch.elapsed().as_secs_f64() * 1e3
     }
 
-    /// A point on the clock; nothing where it is too far away for one.
+    /// Converts a time on the clock to an `Instant`. `None` if it is too far in the future to be one.
     fn instant(&self, at: Millis) -> Option<Instant> {
         self.epoch.checked_add(Duration::try_from_secs_f64(at / 1e3).ok()?)
     }
 
-    /// Waits for something on a call or a watch, as long as the clock lets it.
-    async fn within<T>(&mut self, what: &'static str, coming: impl Future<Output = T>) -> Result<T> {
-        let mut coming = pin!(coming);
+    /// Waits for a step of a call or a watch until the clock gives up. Then it reports discovery as down and
+    /// fails.
+    async fn wait_for<T>(
+        &mut self,
+        timeout_message: &'static str,
+        future: impl Future<Output = T>,
+    ) -> Result<T> {
+        let mut future = pin!(future);
         loop {
-            let due = self.clock.due().and_then(|due| self.instant(due)).context("no time for it")?;
-            if let Ok(came) = timeout_at(due, &mut coming).await {
-                return Ok(came);
+            let due = self
+                .clock
+                .due()
+                .and_then(|due| self.instant(due))
+                .context("the clock sets no deadline for the call")?;
+            if let Ok(output) = timeout_at(due, &mut future).await {
+                return Ok(output);
             }
             if self.clock.poll(self.millis()) == Some(Command::GiveUp) {
-                self.reach(Reachability::Down);
-                bail!("{what}");
+                self.update_reachability(Reachability::Down);
+                bail!("{timeout_message}");
             }
         }
     }
 
-    async fn once(&mut self) -> Result<Infallible> {
-        const LATE: &str = "no answer in time";
+    /// Makes one call and reads its watch until it ends. Returns only with an error.
+    async fn call(&mut self) -> Result<Infallible> {
+        const TIMED_OUT: &str = "no answer in time";
         let system_calls = self.system_calls.clone();
-        let stream = self.within(LATE, connect(&system_calls, self.address)).await??;
+        let stream = self.wait_for(TIMED_OUT, connect(&system_calls, self.address)).await??;
         let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
-        // It ends with this call.
+        // Dropping the set at the end of this call aborts the connection's task.
         let mut tasks = JoinSet::new();
         tasks.spawn(connection);
         let request = Request::get(format!("/discovery/hosts?watch=1&from={}", self.version))
             .header(header::HOST, self.address.to_string())
             .body(Empty::<Bytes>::new())?;
-        let asked_at = Instant::now();
-        let response = self.within(LATE, sender.send_request(request)).await??;
+        let requested_at = Instant::now();
+        let response = self.wait_for(TIMED_OUT, sender.send_request(request)).await??;
         if response.status() != StatusCode::OK {
-            bail!("answered {}", response.status());
+            bail!("answered with status {}", response.status());
         }
         self.clock.observe(self.millis(), ListEvent::Answered);
-        self.reach(Reachability::Up);
-        // It is told once, with the watch's first list.
-        let mut source_clock = clock_reading(response.headers(), asked_at);
-        let mut has_told = false;
+        self.update_reachability(Reachability::Up);
+        // Delivered once, with the first list of the watch.
+        let mut source_clock = clock_reading(response.headers(), requested_at);
+        let mut has_delivered = false;
         let mut body = response.into_body();
-        let mut values = Values::default();
+        let mut json_stream = JsonStream::default();
         loop {
-            let frame = self.within("the watch fell silent, or a list has no end", body.frame()).await?;
+            let frame = self
+                .wait_for(
+                    "the watch timed out: no list or empty line came, or a list is incomplete",
+                    body.frame(),
+                )
+                .await?;
             let frame = frame.context("the watch ended")??;
             let Ok(chunk) = frame.into_data() else { continue };
-            let lists = values.push(&chunk).inspect_err(|_| self.version = 0)?;
+            let lists = json_stream.push(&chunk).inspect_err(|_| self.version = 0)?;
             let now = self.millis();
             if !lists.is_empty() {
                 self.clock.observe(now, ListEvent::List);
             }
-            if values.is_inside() {
+            if json_stream.has_partial_value() {
                 self.clock.observe(now, ListEvent::Part);
             } else if lists.is_empty() && chunk.contains(&b'\n') {
-                // An empty line between lists. Other space there says nothing.
+                // An empty line between lists is a keep-alive. Other whitespace there is not.
                 self.clock.observe(now, ListEvent::KeepAlive);
             }
             for list in &lists {
-                self.tell(list, source_clock.take())?;
-                has_told = true;
+                self.deliver(list, source_clock.take())?;
+                has_delivered = true;
             }
-            if has_told && !values.is_inside() {
-                self.heard_at = Some(Instant::now());
+            if has_delivered && !json_stream.has_partial_value() {
+                self.last_contact = Some(Instant::now());
             }
         }
     }
 
-    /// Tells whether discovery answers, whenever that changes.
-    fn reach(&mut self, reach: Reachability) {
-        if self.reach.replace(reach) != Some(reach) {
-            self.news.reachability_changed(reach);
+    /// Records whether discovery is reachable, and reports each change to the engine.
+    fn update_reachability(&mut self, reachability: Reachability) {
+        if self.reachability.replace(reachability) != Some(reachability) {
+            self.events.reachability_changed(reachability);
         }
     }
 
-    fn tell(&mut self, list: &HostList, source_clock: Option<ClockReading>) -> Result<()> {
-        // A discovery that has lost its memory counts anew: its whole list holds. Changes before what is held are
-        // changes of something else.
+    /// Passes a list to the engine. Rejects changes that are older than the version that the sidecar has.
+    fn deliver(&mut self, list: &HostList, source_clock: Option<ClockReading>) -> Result<()> {
+        // A discovery service that has lost its state restarts its version numbers, so that a complete list
+        // is valid with any version. Changes with a version below the sidecar's do not apply to the list that
+        // the sidecar has.
         if list.seq < self.version && !list.whole {
-            let held = std::mem::take(&mut self.version);
-            bail!("changes up to {} came after {held}", list.seq);
+            let version = std::mem::take(&mut self.version);
+            bail!("received changes up to version {}, but already at version {version}", list.seq);
         }
-        let list = List { previous_contact: self.heard_at, source_clock, ..list.list() };
+        let list = List { previous_contact: self.last_contact, source_clock, ..list.to_list() };
         self.version = list.resume_from;
-        self.before = None;
-        if !self.news.list_received(list) {
-            bail!("the engine has ended");
+        self.replaced = None;
+        if !self.events.list_received(list) {
+            bail!("the engine has stopped");
         }
         Ok(())
     }
