--- a/crates/listclock/src/lib.rs
+++ b/crates/listclock/src/lib.rs
@@ -2,8 +2,8 @@
 //! told counts as told. No I/O, no clock and no randomness of its own: time, seed and what happened go in, the next
 //! command comes out. The sidecar on sockets and the simulator's adapter follow the same clock.
 //!
-//! Whoever drives it asks [`Clock::due`] when to come back, calls [`Clock::poll`] then, carries out the command, and
-//! says with [`Clock::observe`] what came of it. Where many meet (a start, the end of an outage) calls are spread by
+//! Whoever drives it asks [`PollSchedule::due`] when to come back, calls [`PollSchedule::poll`] then, carries out the command, and
+//! says with [`PollSchedule::observe`] what came of it. Where many meet (a start, the end of an outage) calls are spread by
 //! full jitter, evenly over a window ("Exponential Backoff and Jitter", AWS Architecture Blog, 2015). Whoever fails
 //! again keeps the phase that it drew, one [`RETRY_PERIOD`] after the other: so a call begins within a period of the
 //! moment at which discovery returns, whatever that moment is, and callers stay spread evenly over it. Why the windows
@@ -68,9 +68,9 @@
 
 /// What a deployment says of its discovery.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Rules {
+pub struct ScheduleConfig {
     /// Where discovery is asked: a sidecar must ask at least this often. `None` where lists are pushed.
-    pub must_ask_in: Option<Millis>,
+    pub max_poll_interval: Option<Millis>,
     /// Whether calls and watches can fall silent. The simulator tells each end.
     pub can_fall_silent: bool,
 }
@@ -79,9 +79,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Start {
     /// A new process without a list.
-    Empty,
+    NoList,
     /// A new process with a list, maybe an old one.
-    Known,
+    HasList,
     /// Discovery is elsewhere now.
     Moved,
 }
@@ -96,7 +96,7 @@
     /// An empty line between two of them.
     KeepAlive,
     /// Some of a list, which is not whole yet.
-    Part,
+    PartialList,
     /// The call failed, the watch ended or broke, or something on it was missed and it was dropped.
     Ended,
 }
@@ -107,7 +107,7 @@
     /// Call discovery.
     Call,
     /// Drop the call or the watch. No [`ListEvent::Ended`] is owed for it.
-    GiveUp,
+    Cancel,
 }
 
 /// How eagerly discovery is asked while it does not answer.
@@ -142,8 +142,8 @@
 
 /// The clock of one sidecar's list.
 #[derive(Debug)]
-pub struct Clock {
-    rules: Rules,
+pub struct PollSchedule {
+    rules: ScheduleConfig,
     rng: Rand64,
     state: State,
     pace: Pace,
@@ -161,24 +161,25 @@
     contact: Millis,
 }
 
-impl Clock {
+impl PollSchedule {
     /// A clock that begins now.
-    pub fn new(rules: Rules, start: Start, seed: u64, now: Millis) -> Clock {
+    pub fn new(rules: ScheduleConfig, start: Start, seed: u64, now: Millis) -> PollSchedule {
         let mut rng = Rand64::new(u128::from(seed));
-        let window = match (start, rules.must_ask_in) {
-            (Start::Empty, _) => EMPTY_WINDOW,
+        let window = match (start, rules.max_poll_interval) {
+            (Start::NoList, _) => EMPTY_WINDOW,
             (Start::Moved, _) => MOVED_WINDOW,
-            (Start::Known, Some(must_ask_in)) => (ASK_SHARE * must_ask_in).min(RETRY_PERIOD),
-            (Start::Known, None) => PUSHED_START,
+            (Start::HasList, Some(max_poll_interval)) => (ASK_SHARE * max_poll_interval).min(RETRY_PERIOD),
+            (Start::HasList, None) => PUSHED_START,
         };
         let moved = start == Start::Moved;
-        let counts_in = if moved { MOVED_TOLD } else { rules.must_ask_in.unwrap_or(0.0).min(MISSED_TOLD) };
-        Clock {
+        let counts_in =
+            if moved { MOVED_TOLD } else { rules.max_poll_interval.unwrap_or(0.0).min(MISSED_TOLD) };
+        PollSchedule {
             rules,
             state: State::Waiting { until: now + window * rng.rand_float() },
             rng,
             pace: Pace::Usual,
-            empty: start == Start::Empty,
+            empty: start == Start::NoList,
             failures: 0,
             short: 0,
             counts_at: now + counts_in,
@@ -212,13 +213,13 @@
             }
             State::Calling { .. } => {
                 self.observe(now, ListEvent::Ended);
-                Some(Command::GiveUp)
+                Some(Command::Cancel)
             }
             State::Watching { alive, .. } => {
                 (self.counts_at, self.stands) = (alive + MISSED_TOLD, true);
                 self.contact = alive;
                 self.wait(now);
-                Some(Command::GiveUp)
+                Some(Command::Cancel)
             }
         }
     }
@@ -226,7 +227,7 @@
     /// Asks at another pace from now on. A wait that has begun is drawn anew: whoever asks more eagerly than before
     /// does not wait longer for it, and whoever asks less eagerly not shorter. So those whose coordinator has gone ask
     /// again within their usual window, spread over it.
-    pub fn ask(&mut self, now: Millis, pace: Pace) {
+    pub fn set_pace(&mut self, now: Millis, pace: Pace) {
         let eager = |pace| match pace {
             Pace::Seldom => 0,
             Pace::Usual => 1,
@@ -255,7 +256,7 @@
                 self.failures += 1;
                 // What was missed before stands until it counts as told; from then on only what comes is missed.
                 self.stands &= now < self.counts_at;
-                if self.rules.must_ask_in.is_some() && !self.stands {
+                if self.rules.max_poll_interval.is_some() && !self.stands {
                     self.counts_at = self.counts_at.max(self.contact + MISSED_TOLD);
                 }
                 self.wait(now);
@@ -264,12 +265,12 @@
                 (*alive, *inside) = (now, None);
                 self.empty &= event != ListEvent::List;
             }
-            (State::Watching { inside, .. }, ListEvent::Part) => *inside = inside.or(Some(now)),
+            (State::Watching { inside, .. }, ListEvent::PartialList) => *inside = inside.or(Some(now)),
             (State::Watching { since, alive, .. }, ListEvent::Ended) => {
                 self.short = if now < *since + SHORT { self.short + 1 } else { 0 };
                 self.contact = *alive;
                 let within =
-                    self.rules.must_ask_in.map(|within| (now + within).min(self.contact + MISSED_TOLD));
+                    self.rules.max_poll_interval.map(|within| (now + within).min(self.contact + MISSED_TOLD));
                 self.counts_at = within.unwrap_or(now);
                 self.wait(now);
             }
@@ -292,7 +293,7 @@
         let latest = self.latest(now);
         let until = match self.pace {
             Pace::Often => {
-                let often = self.rules.must_ask_in.map_or(0.0, |within| within * OFTEN_SHARE);
+                let often = self.rules.max_poll_interval.map_or(0.0, |within| within * OFTEN_SHARE);
                 let longest = self.window().min(often).min(latest - now);
                 self.between(now + OFTEN_LEAST, now + longest)
             }
@@ -332,7 +333,7 @@
 
     /// The window for the next call by what came before it alone.
     fn window(&self) -> Millis {
-        match (self.failed_in_a_row(), self.rules.must_ask_in) {
+        match (self.failed_in_a_row(), self.rules.max_poll_interval) {
             (0, None) => BROKEN_WINDOW_PUSHED,
             (0, Some(_)) => BROKEN_WINDOW,
             _ => self.period(),
@@ -341,10 +342,10 @@
 
     /// The time from the begin of one call to that of the next while calls fail.
     fn period(&self) -> Millis {
-        let Some(must_ask_in) = self.rules.must_ask_in else { return RETRY_PERIOD_PUSHED };
-        let first = (ASK_SHARE * must_ask_in).max(LEAST_WINDOW);
+        let Some(max_poll_interval) = self.rules.max_poll_interval else { return RETRY_PERIOD_PUSHED };
+        let first = (ASK_SHARE * max_poll_interval).max(LEAST_WINDOW);
         // Who has no list refuses all. Else the wait and the call after it fit into the time for asking.
-        let period = if self.empty { first } else { first.max(must_ask_in - CALL) };
+        let period = if self.empty { first } else { first.max(max_poll_interval - CALL) };
         period.min(RETRY_PERIOD)
     }
 }
--- a/crates/listclock/tests/table.rs
+++ b/crates/listclock/tests/table.rs
@@ -2,22 +2,22 @@
 
 use listclock::*;
 
-const ASKED: Rules = Rules { must_ask_in: Some(10_000.0), can_fall_silent: true };
-const PUSHED: Rules = Rules { must_ask_in: None, can_fall_silent: true };
+const ASKED: ScheduleConfig = ScheduleConfig { max_poll_interval: Some(10_000.0), can_fall_silent: true };
+const PUSHED: ScheduleConfig = ScheduleConfig { max_poll_interval: None, can_fall_silent: true };
 const SEEDS: u64 = 300;
 
 /// A fleet of the usual size, and one that shows how evenly callers are spread apart from the chance of the draw.
 const FLEETS: [u64; 2] = [SEEDS, 10 * SEEDS];
 
 /// A clock of each seed with an open watch since 1,000.
-fn watching(rules: Rules) -> impl Iterator<Item = Clock> {
+fn watching(rules: ScheduleConfig) -> impl Iterator<Item = PollSchedule> {
     fleet(rules, SEEDS)
 }
 
 /// The same for so many seeds.
-fn fleet(rules: Rules, size: u64) -> impl Iterator<Item = Clock> {
+fn fleet(rules: ScheduleConfig, size: u64) -> impl Iterator<Item = PollSchedule> {
     (0..size).map(move |seed| {
-        let mut clock = Clock::new(rules, Start::Known, seed, 0.0);
+        let mut clock = PollSchedule::new(rules, Start::HasList, seed, 0.0);
         call(&mut clock);
         clock.observe(1_000.0, ListEvent::Answered);
         clock.observe(1_000.0, ListEvent::List);
@@ -26,7 +26,7 @@
 }
 
 /// Lets the next call be due; when it was.
-fn call(clock: &mut Clock) -> Millis {
+fn call(clock: &mut PollSchedule) -> Millis {
     let at = clock.due().expect("a time");
     assert_eq!(clock.poll(at - 0.01), None, "not before its time");
     assert_eq!(clock.poll(at), Some(Command::Call));
@@ -36,15 +36,15 @@
 #[test]
 fn the_first_call_comes_in_time() {
     for (rules, start, by) in [
-        (ASKED, Start::Empty, 300.0),
-        (PUSHED, Start::Empty, 300.0),
-        (ASKED, Start::Known, 2_500.0),
-        (PUSHED, Start::Known, 300.0),
+        (ASKED, Start::NoList, 300.0),
+        (PUSHED, Start::NoList, 300.0),
+        (ASKED, Start::HasList, 2_500.0),
+        (PUSHED, Start::HasList, 300.0),
         (ASKED, Start::Moved, 500.0),
         (PUSHED, Start::Moved, 500.0),
     ] {
         let calls: Vec<Millis> =
-            (0..SEEDS).map(|seed| call(&mut Clock::new(rules, start, seed, 70.0)) - 70.0).collect();
+            (0..SEEDS).map(|seed| call(&mut PollSchedule::new(rules, start, seed, 70.0)) - 70.0).collect();
         assert!(calls.iter().all(|at| (0.0..=by).contains(at)), "{start:?}: {calls:?}");
         let early = calls.iter().filter(|at| **at < by / 4.0).count();
         assert!(early < 150, "{start:?}: {early} in the first quarter");
@@ -60,7 +60,7 @@
                 clock.observe(at, ListEvent::KeepAlive);
             }
             assert_eq!((clock.due(), clock.counts_at()), (Some(7_800.0), 10_800.0));
-            assert_eq!(clock.poll(7_800.0), Some(Command::GiveUp));
+            assert_eq!(clock.poll(7_800.0), Some(Command::Cancel));
             let at = call(&mut clock);
             assert!(at <= 8_800.0, "{at}");
             assert_eq!(clock.counts_at(), 10_800.0, "a call alone does not put it off");
@@ -82,14 +82,14 @@
         for part in 0..30 {
             let at = 2_000.0 + 100.0 * f64::from(part);
             assert_eq!(clock.poll(at), None);
-            clock.observe(at, ListEvent::Part);
+            clock.observe(at, ListEvent::PartialList);
         }
         assert_eq!((clock.due(), clock.counts_at()), (Some(5_000.0), 7_000.0));
-        assert_eq!(clock.poll(5_000.0), Some(Command::GiveUp));
+        assert_eq!(clock.poll(5_000.0), Some(Command::Cancel));
         // One that is whole in time is life.
         call(&mut clock);
         clock.observe(7_000.0, ListEvent::Answered);
-        clock.observe(9_000.0, ListEvent::Part);
+        clock.observe(9_000.0, ListEvent::PartialList);
         clock.observe(9_500.0, ListEvent::List);
         assert_eq!(clock.due(), Some(9_500.0 + SILENCE));
     }
@@ -129,7 +129,7 @@
         clock.observe(5_000.0, ListEvent::Ended);
         let at = call(&mut clock);
         assert_eq!((clock.due(), clock.counts_at()), (Some(at + CALL), 9_000.0));
-        assert_eq!(clock.poll(at + CALL), Some(Command::GiveUp));
+        assert_eq!(clock.poll(at + CALL), Some(Command::Cancel));
         assert_eq!(clock.counts_at(), at + MISSED_TOLD, "whatever is allowed after a failed call");
         // What a call given up still says changes nothing.
         clock.observe(at + CALL, ListEvent::Answered);
@@ -142,7 +142,7 @@
 fn a_move_is_followed_before_its_news_count_as_told() {
     for rules in [ASKED, PUSHED] {
         for seed in 0..SEEDS {
-            let mut clock = Clock::new(rules, Start::Moved, seed, 0.0);
+            let mut clock = PollSchedule::new(rules, Start::Moved, seed, 0.0);
             assert_eq!(clock.counts_at(), 4_000.0);
             // The new address refuses at first.
             for _ in 0..3 {
@@ -194,7 +194,7 @@
 #[test]
 fn without_a_list_waits_stay_short() {
     for seed in 0..SEEDS {
-        let mut clock = Clock::new(ASKED, Start::Empty, seed, 0.0);
+        let mut clock = PollSchedule::new(ASKED, Start::NoList, seed, 0.0);
         let mut before = 0.0;
         for _ in 0..8 {
             let at = call(&mut clock);
@@ -208,7 +208,7 @@
 /// The simulator tells each end, and answers each call.
 #[test]
 fn where_nothing_falls_silent_nothing_is_given_up() {
-    for mut clock in watching(Rules { can_fall_silent: false, ..ASKED }).take(9) {
+    for mut clock in watching(ScheduleConfig { can_fall_silent: false, ..ASKED }).take(9) {
         assert_eq!((clock.due(), clock.counts_at()), (None, Millis::INFINITY));
         assert_eq!(clock.poll(1e9), None);
         clock.observe(1e9, ListEvent::Ended);
@@ -225,7 +225,7 @@
             clock.observe(5_000.0, ListEvent::Ended);
             let mut before = call(&mut clock);
             clock.observe(before + 1.0, ListEvent::Ended);
-            clock.ask(before + 1.0, Pace::Often);
+            clock.set_pace(before + 1.0, Pace::Often);
             for turn in 0..8 {
                 let at = call(&mut clock);
                 let gap = at - before - 1.0;
@@ -247,7 +247,7 @@
         let (mut widest, mut back): (Millis, Vec<Millis>) = (0.0, Vec::new());
         for mut clock in watching(rules) {
             clock.observe(5_000.0, ListEvent::Ended);
-            clock.ask(5_000.0, Pace::Seldom);
+            clock.set_pace(5_000.0, Pace::Seldom);
             let mut at = call(&mut clock);
             for _ in 0..5 {
                 clock.observe(at + 1.0, ListEvent::Ended);
@@ -257,7 +257,7 @@
                 at = next;
             }
             clock.observe(at + 1.0, ListEvent::Ended);
-            clock.ask(at + 2.0, Pace::Usual);
+            clock.set_pace(at + 2.0, Pace::Usual);
             back.push(call(&mut clock) - at - 2.0);
         }
         assert!(widest > wider * usual, "{rules:?}: {widest}");
@@ -270,8 +270,13 @@
 /// Settings that leave no time, or none that makes sense, make no storm.
 #[test]
 fn odd_settings_make_no_storm() {
-    for must_ask_in in [0.0, 1.0, 400.0, 3_000.0, 1e12] {
-        let mut clock = Clock::new(Rules { must_ask_in: Some(must_ask_in), ..ASKED }, Start::Empty, 5, 0.0);
+    for max_poll_interval in [0.0, 1.0, 400.0, 3_000.0, 1e12] {
+        let mut clock = PollSchedule::new(
+            ScheduleConfig { max_poll_interval: Some(max_poll_interval), ..ASKED },
+            Start::NoList,
+            5,
+            0.0,
+        );
         let mut calls = 0;
         loop {
             let at = call(&mut clock);
@@ -281,7 +286,7 @@
             clock.observe(at + 1.0, ListEvent::Ended);
             calls += 1;
         }
-        assert!(calls < 400, "{must_ask_in}: {calls} in a minute");
+        assert!(calls < 400, "{max_poll_interval}: {calls} in a minute");
     }
 }
 
@@ -297,7 +302,7 @@
 }
 
 /// Lets calls fail until discovery is back and answers each call after `late`; when its answer comes.
-fn answered(clock: &mut Clock, failure: Failure, back: Millis, late: Millis) -> Millis {
+fn answered(clock: &mut PollSchedule, failure: Failure, back: Millis, late: Millis) -> Millis {
     loop {
         let at = call(clock);
         if at >= back {
@@ -306,7 +311,7 @@
         match failure {
             Failure::Refused => clock.observe(at, ListEvent::Ended),
             Failure::RefusedAfter(wait) => clock.observe(at + wait, ListEvent::Ended),
-            Failure::Silent => assert_eq!(clock.poll(at + CALL), Some(Command::GiveUp)),
+            Failure::Silent => assert_eq!(clock.poll(at + CALL), Some(Command::Cancel)),
         }
     }
 }
@@ -324,8 +329,8 @@
         for seed in 0..SEEDS {
             for back in 0..60 {
                 let back = 500.0 * f64::from(back) + seed as f64;
-                for start in [Start::Empty, Start::Known, Start::Moved] {
-                    let mut clock = Clock::new(rules, start, seed, 0.0);
+                for start in [Start::NoList, Start::HasList, Start::Moved] {
+                    let mut clock = PollSchedule::new(rules, start, seed, 0.0);
                     let at = answered(&mut clock, failure, back, CALL);
                     longest = longest.max(at - back);
                 }
@@ -341,7 +346,7 @@
 fn the_answer_comes_within_six_seconds_of_a_watch_that_was_lost() {
     for rules in [ASKED, PUSHED] {
         for mut clock in watching(rules) {
-            assert_eq!(clock.poll(4_000.0), Some(Command::GiveUp));
+            assert_eq!(clock.poll(4_000.0), Some(Command::Cancel));
             assert!(call(&mut clock) + CALL <= 1_000.0 + MISSED_TOLD);
         }
         for mut clock in watching(rules) {
@@ -356,7 +361,7 @@
 }
 
 /// Ends a watch that has just told a list; when it did.
-fn call_after_short_watch(clock: &mut Clock) -> Millis {
+fn call_after_short_watch(clock: &mut PollSchedule) -> Millis {
     let alive = clock.counts_at() - MISSED_TOLD;
     clock.observe(alive, ListEvent::List);
     clock.observe(alive + 1.0, ListEvent::Ended);
--- a/crates/node/src/rosters/discovery.rs
+++ b/crates/node/src/rosters/discovery.rs
@@ -14,7 +14,7 @@
 use hyper::client::conn::http1;
 use hyper::{Request, StatusCode, header};
 use hyper_util::rt::TokioIo;
-use listclock::{Clock, Command, ListEvent, Millis, Pace, Rules};
+use listclock::{Command, ListEvent, Millis, Pace, PollSchedule, ScheduleConfig};
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
@@ -48,16 +48,16 @@
 impl DiscoverySource for Source {
     fn subscribe(&self, from: u64, start: SubscriptionStart) -> Subscription {
         let (start, before) = match start {
-            SubscriptionStart::NoList => (listclock::Start::Empty, None),
-            SubscriptionStart::HasList => (listclock::Start::Known, None),
+            SubscriptionStart::NoList => (listclock::Start::NoList, None),
+            SubscriptionStart::HasList => (listclock::Start::HasList, None),
             SubscriptionStart::Replaces(before) => (listclock::Start::Moved, before),
         };
         before.iter().for_each(Subscription::retire);
-        let rules = Rules { must_ask_in: self.must_ask_in, can_fall_silent: true };
+        let rules = ScheduleConfig { max_poll_interval: self.must_ask_in, can_fall_silent: true };
         let (address, news, seed) = (self.address, self.news.clone(), self.seed);
         let system_calls = self.system_calls.clone();
         Subscription::spawn(move |retired| {
-            let clock = Clock::new(rules, start, seed, 0.0);
+            let clock = PollSchedule::new(rules, start, seed, 0.0);
             let pace = news.pace();
             let epoch = Instant::now();
             let watch = Watch {
@@ -86,7 +86,7 @@
     /// it, so that the next one tells it.
     version: u64,
     news: DiscoveryEvents,
-    clock: Clock,
+    clock: PollSchedule,
     /// The clock's 0.
     epoch: Instant,
     /// Whether it may call no more.
@@ -147,7 +147,7 @@
             tokio::select! {
                 () = sleep_until(due.unwrap_or_else(|| Instant::now() + Duration::from_secs(60))) => {}
                 pace = changed(&mut self.pace) => {
-                    self.clock.ask(self.millis(), pace);
+                    self.clock.set_pace(self.millis(), pace);
                     continue;
                 }
             }
@@ -183,7 +183,7 @@
             if let Ok(came) = timeout_at(due, &mut coming).await {
                 return Ok(came);
             }
-            if self.clock.poll(self.millis()) == Some(Command::GiveUp) {
+            if self.clock.poll(self.millis()) == Some(Command::Cancel) {
                 self.reach(Reach::Down);
                 bail!("{what}");
             }
@@ -223,7 +223,7 @@
                 self.clock.observe(now, ListEvent::List);
             }
             if values.is_inside() {
-                self.clock.observe(now, ListEvent::Part);
+                self.clock.observe(now, ListEvent::PartialList);
             } else if lists.is_empty() && chunk.contains(&b'\n') {
                 // An empty line between lists. Other space there says nothing.
                 self.clock.observe(now, ListEvent::KeepAlive);
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -6,7 +6,7 @@
 use std::io::{BufRead, Write};
 use std::process::ExitCode;
 
-use listclock::{Clock, Command, ListEvent, Rules, Start};
+use listclock::{Command, ListEvent, PollSchedule, ScheduleConfig, Start};
 use sagemast::Balancer;
 use sagemast::api::*;
 use sagemast::settings::{Column, report};
@@ -27,7 +27,7 @@
     salt: u64,
     /// Where lists must be asked for.
     must_ask_in: Option<f64>,
-    clock: Option<Clock>,
+    clock: Option<PollSchedule>,
     /// When the clock's last timer rings.
     alarm: Option<f64>,
 }
@@ -37,9 +37,13 @@
     fn list_clock(&mut self, now: f64, event: &WireEvent, actions: &mut Vec<WireAction>) -> bool {
         match event {
             WireEvent::Sync { mode: SyncMode::Restored, .. } => {
-                let rules = |must_ask_in| Rules { must_ask_in: Some(must_ask_in), can_fall_silent: false };
-                self.clock =
-                    self.must_ask_in.map(|within| Clock::new(rules(within), Start::Known, self.salt, now));
+                let rules = |must_ask_in| ScheduleConfig {
+                    max_poll_interval: Some(must_ask_in),
+                    can_fall_silent: false,
+                };
+                self.clock = self
+                    .must_ask_in
+                    .map(|within| PollSchedule::new(rules(within), Start::HasList, self.salt, now));
             }
             WireEvent::Sync { mode, .. } => {
                 let heard: &[ListEvent] = match mode {
@@ -57,7 +61,7 @@
             _ => return false,
         }
         // Each wait has one timer: where this one has begun already, its own is set.
-        let due = self.clock.as_ref().and_then(Clock::due).filter(|due| self.alarm != Some(*due));
+        let due = self.clock.as_ref().and_then(PollSchedule::due).filter(|due| self.alarm != Some(*due));
         actions.extend(due.map(|due| WireAction::SetAlarm { time: due, token: LIST }));
         self.alarm = due.or(self.alarm);
         matches!(event, WireEvent::Sync { mode: SyncMode::Unavailable, .. } | WireEvent::Ring { .. })
--- a/crates/world/src/company.rs
+++ b/crates/world/src/company.rs
@@ -130,7 +130,7 @@
                     Asking::Seldom => Pace::Seldom,
                 };
                 let this = &mut self.members[member];
-                this.list_clock.ask(this.clock.at(self.now), pace);
+                this.list_clock.set_pace(this.clock.at(self.now), pace);
                 self.set_list_timer(member);
             }
             Output::Note(text) => {
--- a/crates/world/src/member.rs
+++ b/crates/world/src/member.rs
@@ -117,7 +117,7 @@
     /// The version of discovery's list that it holds.
     pub version: u64,
     /// When it asks discovery.
-    pub list_clock: listclock::Clock,
+    pub list_clock: listclock::PollSchedule,
     /// When the timer set last for that rings.
     pub ringing: Option<Micros>,
     /// How discovery looks from here, as was told last.
--- a/crates/world/src/roster.rs
+++ b/crates/world/src/roster.rs
@@ -1,6 +1,6 @@
 //! The lists that sidecars get from discovery, by the clock that real ones follow.
 
-use listclock::{Clock, Command, ListEvent, Rules, Start};
+use listclock::{Command, ListEvent, PollSchedule, ScheduleConfig, Start};
 use peers::api::{Reach, Standing};
 use sagemast::api::*;
 
@@ -14,12 +14,15 @@
 
 impl World {
     /// The clock of a sidecar's list.
-    pub(crate) fn list_clock(&self, member: usize, incarnation: u64, start: Start) -> Clock {
-        let rules = Rules { must_ask_in: Some(self.spec.discovery.must_ask_in), can_fall_silent: true };
+    pub(crate) fn list_clock(&self, member: usize, incarnation: u64, start: Start) -> PollSchedule {
+        let rules = ScheduleConfig {
+            max_poll_interval: Some(self.spec.discovery.must_ask_in),
+            can_fall_silent: true,
+        };
         let seed = crate::dice::hash(self.spec.seed ^ crate::dice::hash((member as u64) << 32 | incarnation));
         // A world begins in the middle of a day: all find their lists soon.
-        let start = if self.now == 0 { Start::Empty } else { start };
-        Clock::new(rules, start, seed, 0.0)
+        let start = if self.now == 0 { Start::NoList } else { start };
+        PollSchedule::new(rules, start, seed, 0.0)
     }
 
     /// A process that starts reads the list that its file has.
@@ -55,7 +58,7 @@
                 Way::Refused => self.tell_at(self.now + micros(WIRE), member, Told::ListEnded),
                 Way::Silent => {}
             },
-            Some(Command::GiveUp) => {
+            Some(Command::Cancel) => {
                 this.watches = false;
                 self.reach(member, Reach::Down);
             }
--- a/crates/world/src/world.rs
+++ b/crates/world/src/world.rs
@@ -174,7 +174,7 @@
             let zone = number % world.zones.len();
             let region = world.zones[zone].1;
             let clock = Clock { began: 0, rate };
-            let list_clock = world.list_clock(number, 0, listclock::Start::Known);
+            let list_clock = world.list_clock(number, 0, listclock::Start::HasList);
             world.members.push(Member {
                 zone,
                 region,
@@ -295,7 +295,7 @@
         let seed = (seed * 1e15) as u64;
         let balancer = Balancer::new(self.spec.settings(zone), seed);
         let company = self.new_company(member, seed);
-        let list_clock = self.list_clock(member, incarnation, listclock::Start::Known);
+        let list_clock = self.list_clock(member, incarnation, listclock::Start::HasList);
         let this = &mut self.members[member];
         this.clock.began = self.now;
         this.incarnation = incarnation;
