--- a/crates/listclock/src/lib.rs
+++ b/crates/listclock/src/lib.rs
@@ -15,56 +15,56 @@
 pub type Millis = f64;
 
 /// A call must be answered in this time, connecting included.
-pub const CALL: Millis = 2_500.0;
+pub const CALL_TIMEOUT: Millis = 2_500.0;
 /// While nothing changes an empty line comes every 2 s. A watch without a line or a list for so long is dead: with the
-/// first window and a call after it there is an answer by [`MISSED_TOLD`] unless that call takes long.
-pub const SILENCE: Millis = 3_000.0;
+/// first window and a call after it there is an answer by [`MISSED_UPDATE_DEADLINE`] unless that call takes long.
+pub const SILENCE_TIMEOUT: Millis = 3_000.0;
 /// From its first byte on a list must be whole in this time: what never ends is no sign of life.
-pub const VALUE: Millis = 3_000.0;
+pub const LIST_TIMEOUT: Millis = 3_000.0;
 /// What a silent watch misses counts as told so long after it fell silent; and whatever became of the calls, a change
 /// counts as told so long after discovery had it and could be reached.
-pub const MISSED_TOLD: Millis = 6_000.0;
+pub const MISSED_UPDATE_DEADLINE: Millis = 6_000.0;
 /// The longest time from the last sign of life of discovery, or from the begin of a call that failed, to the begin of
-/// the next call, which then has [`CALL`] left to be answered before what was missed counts as told.
-pub const RETRY_PERIOD: Millis = MISSED_TOLD - CALL;
+/// the next call, which then has [`CALL_TIMEOUT`] left to be answered before what was missed counts as told.
+pub const RETRY_PERIOD: Millis = MISSED_UPDATE_DEADLINE - CALL_TIMEOUT;
 /// What was listed counts as told so long after discovery moved.
-const MOVED_TOLD: Millis = 4_000.0;
+const MOVED_UPDATE_DEADLINE: Millis = 4_000.0;
 
 /// From the second failure in a row on, a wait ends within this last share of what it may take: callers that were
 /// spread once stay spread, and do not lock into step with anything periodic.
-const STEADY_SHARE: f64 = 0.05;
+const STEADY_FRACTION: f64 = 0.05;
 
 /// The first call is spread over so much where nothing is known and all are refused until it is answered...
-const EMPTY_WINDOW: Millis = 200.0;
+const NO_LIST_WINDOW: Millis = 200.0;
 /// ...where a list is known but what came since counts as told...
-const PUSHED_START: Millis = 250.0;
+const PUSHED_START_WINDOW: Millis = 250.0;
 /// ...and where discovery has moved.
 const MOVED_WINDOW: Millis = 500.0;
 /// A watch that broke is asked for again within this, whether it broke alone or with all others: they spread over it.
-const BROKEN_WINDOW: Millis = 900.0;
+const WATCH_ENDED_WINDOW: Millis = 900.0;
 /// The same where lists are pushed and count as told at once...
-const BROKEN_WINDOW_PUSHED: Millis = 300.0;
+const WATCH_ENDED_WINDOW_PUSHED: Millis = 300.0;
 /// ...and the time from one call that fails to the next there.
 const RETRY_PERIOD_PUSHED: Millis = 1_200.0;
 /// Where the time for asking is known, the first call of a process comes within this share of it; so do those after
 /// calls that failed, as long as there is no list.
-const ASK_SHARE: f64 = 0.25;
+const POLL_INTERVAL_FRACTION: f64 = 0.25;
 /// The narrowest window for calls that fail, also where what was missed is about to count as told...
-const LEAST_WINDOW: Millis = 400.0;
+const MIN_RETRY_WINDOW: Millis = 400.0;
 /// ...and the shortest wait after one.
-const LEAST_WAIT: Millis = 200.0;
+const MIN_RETRY_WAIT: Millis = 200.0;
 /// Two times that differ by less are the same.
-const SAME: Millis = 1.0;
+const TIME_TOLERANCE: Millis = 1.0;
 /// A watch that ended sooner than this after its answer was short. So many in a row are asked for again as if
 /// nothing were amiss; from then on they are waited for like calls that failed.
-const SHORT: Millis = 2_000.0;
-const SHORT_FREE: u32 = 2;
+const SHORT_WATCH: Millis = 2_000.0;
+const FREE_SHORT_WATCHES: u32 = 2;
 /// Who asks for others does so after this share of the time for asking...
-const OFTEN_SHARE: f64 = 0.25;
+const OFTEN_FRACTION: f64 = 0.25;
 /// ...and after this at the soonest.
-const OFTEN_LEAST: Millis = 500.0;
+const OFTEN_MIN_WAIT: Millis = 500.0;
 /// Who is asked for by another waits so many times as long.
-const SELDOM: f64 = 4.0;
+const SELDOM_FACTOR: f64 = 4.0;
 
 /// What a deployment says of its discovery.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -132,59 +132,64 @@
     },
     Watching {
         /// When it was answered.
-        since: Millis,
+        answered_at: Millis,
         /// The last whole list or empty line.
-        alive: Millis,
+        last_activity: Millis,
         /// The first byte of a list that is not whole.
-        inside: Option<Millis>,
+        partial_since: Option<Millis>,
     },
 }
 
 /// The clock of one sidecar's list.
 #[derive(Debug)]
 pub struct PollSchedule {
-    rules: ScheduleConfig,
+    config: ScheduleConfig,
     rng: Rand64,
     state: State,
     pace: Pace,
     /// Whether there is no list yet.
-    empty: bool,
+    no_list: bool,
     /// Calls that failed, and watches that were short, one after the other.
     failures: u32,
-    short: u32,
+    short_watches: u32,
     /// When what is missed counts as told, while no watch is open.
-    counts_at: Millis,
+    update_deadline: Millis,
     /// Whether that stands also when further calls fail.
-    stands: bool,
+    deadline_fixed: bool,
     /// The last sign of life, or when the last call began, if that failed: the next one begins within
     /// [`RETRY_PERIOD`] of it.
-    contact: Millis,
+    last_contact: Millis,
 }
 
 impl PollSchedule {
     /// A clock that begins now.
-    pub fn new(rules: ScheduleConfig, start: Start, seed: u64, now: Millis) -> PollSchedule {
+    pub fn new(config: ScheduleConfig, start: Start, seed: u64, now: Millis) -> PollSchedule {
         let mut rng = Rand64::new(u128::from(seed));
-        let window = match (start, rules.max_poll_interval) {
-            (Start::NoList, _) => EMPTY_WINDOW,
+        let window = match (start, config.max_poll_interval) {
+            (Start::NoList, _) => NO_LIST_WINDOW,
             (Start::Moved, _) => MOVED_WINDOW,
-            (Start::HasList, Some(max_poll_interval)) => (ASK_SHARE * max_poll_interval).min(RETRY_PERIOD),
-            (Start::HasList, None) => PUSHED_START,
+            (Start::HasList, Some(max_poll_interval)) => {
+                (POLL_INTERVAL_FRACTION * max_poll_interval).min(RETRY_PERIOD)
+            }
+            (Start::HasList, None) => PUSHED_START_WINDOW,
         };
         let moved = start == Start::Moved;
-        let counts_in =
-            if moved { MOVED_TOLD } else { rules.max_poll_interval.unwrap_or(0.0).min(MISSED_TOLD) };
+        let deadline_in = if moved {
+            MOVED_UPDATE_DEADLINE
+        } else {
+            config.max_poll_interval.unwrap_or(0.0).min(MISSED_UPDATE_DEADLINE)
+        };
         PollSchedule {
-            rules,
+            config,
             state: State::Waiting { until: now + window * rng.rand_float() },
             rng,
             pace: Pace::Usual,
-            empty: start == Start::NoList,
+            no_list: start == Start::NoList,
             failures: 0,
-            short: 0,
-            counts_at: now + counts_in,
-            stands: moved,
-            contact: now,
+            short_watches: 0,
+            update_deadline: now + deadline_in,
+            deadline_fixed: moved,
+            last_contact: now,
         }
     }
 
@@ -197,9 +202,11 @@
     pub fn due(&self) -> Option<Millis> {
         match self.state {
             State::Waiting { until } => Some(until),
-            _ if !self.rules.can_fall_silent => None,
-            State::Calling { since } => Some(since + CALL),
-            State::Watching { alive, inside, .. } => Some(inside.map_or(alive + SILENCE, |at| at + VALUE)),
+            _ if !self.config.can_fall_silent => None,
+            State::Calling { since } => Some(since + CALL_TIMEOUT),
+            State::Watching { last_activity, partial_since, .. } => {
+                Some(partial_since.map_or(last_activity + SILENCE_TIMEOUT, |at| at + LIST_TIMEOUT))
+            }
         }
     }
 
@@ -215,10 +222,10 @@
                 self.observe(now, ListEvent::Ended);
                 Some(Command::Cancel)
             }
-            State::Watching { alive, .. } => {
-                (self.counts_at, self.stands) = (alive + MISSED_TOLD, true);
-                self.contact = alive;
-                self.wait(now);
+            State::Watching { last_activity, .. } => {
+                (self.update_deadline, self.deadline_fixed) = (last_activity + MISSED_UPDATE_DEADLINE, true);
+                self.last_contact = last_activity;
+                self.schedule_call(now);
                 Some(Command::Cancel)
             }
         }
@@ -228,7 +235,7 @@
     /// does not wait longer for it, and whoever asks less eagerly not shorter. So those whose coordinator has gone ask
     /// again within their usual window, spread over it.
     pub fn set_pace(&mut self, now: Millis, pace: Pace) {
-        let eager = |pace| match pace {
+        let rank = |pace| match pace {
             Pace::Seldom => 0,
             Pace::Usual => 1,
             Pace::Often => 2,
@@ -238,9 +245,9 @@
         if before == pace {
             return;
         }
-        self.wait(now);
-        if let State::Waiting { until: anew } = &mut self.state {
-            *anew = if eager(pace) > eager(before) { until.min(*anew) } else { until.max(*anew) };
+        self.schedule_call(now);
+        if let State::Waiting { until: redrawn } = &mut self.state {
+            *redrawn = if rank(pace) > rank(before) { until.min(*redrawn) } else { until.max(*redrawn) };
         }
     }
 
@@ -248,31 +255,40 @@
     pub fn observe(&mut self, now: Millis, event: ListEvent) {
         match (&mut self.state, event) {
             (State::Calling { .. }, ListEvent::Answered) => {
-                self.state = State::Watching { since: now, alive: now, inside: None };
-                (self.failures, self.stands) = (0, false);
+                self.state = State::Watching { answered_at: now, last_activity: now, partial_since: None };
+                (self.failures, self.deadline_fixed) = (0, false);
             }
             (State::Calling { since }, ListEvent::Ended) => {
-                self.contact = *since;
+                self.last_contact = *since;
                 self.failures += 1;
                 // What was missed before stands until it counts as told; from then on only what comes is missed.
-                self.stands &= now < self.counts_at;
-                if self.rules.max_poll_interval.is_some() && !self.stands {
-                    self.counts_at = self.counts_at.max(self.contact + MISSED_TOLD);
+                self.deadline_fixed &= now < self.update_deadline;
+                if self.config.max_poll_interval.is_some() && !self.deadline_fixed {
+                    self.update_deadline =
+                        self.update_deadline.max(self.last_contact + MISSED_UPDATE_DEADLINE);
                 }
-                self.wait(now);
+                self.schedule_call(now);
+            }
+            (
+                State::Watching { last_activity, partial_since, .. },
+                ListEvent::List | ListEvent::KeepAlive,
+            ) => {
+                (*last_activity, *partial_since) = (now, None);
+                self.no_list &= event != ListEvent::List;
             }
-            (State::Watching { alive, inside, .. }, ListEvent::List | ListEvent::KeepAlive) => {
-                (*alive, *inside) = (now, None);
-                self.empty &= event != ListEvent::List;
+            (State::Watching { partial_since, .. }, ListEvent::PartialList) => {
+                *partial_since = partial_since.or(Some(now))
             }
-            (State::Watching { inside, .. }, ListEvent::PartialList) => *inside = inside.or(Some(now)),
-            (State::Watching { since, alive, .. }, ListEvent::Ended) => {
-                self.short = if now < *since + SHORT { self.short + 1 } else { 0 };
-                self.contact = *alive;
-                let within =
-                    self.rules.max_poll_interval.map(|within| (now + within).min(self.contact + MISSED_TOLD));
-                self.counts_at = within.unwrap_or(now);
-                self.wait(now);
+            (State::Watching { answered_at, last_activity, .. }, ListEvent::Ended) => {
+                self.short_watches =
+                    if now < *answered_at + SHORT_WATCH { self.short_watches + 1 } else { 0 };
+                self.last_contact = *last_activity;
+                let interval_end = self
+                    .config
+                    .max_poll_interval
+                    .map(|interval| (now + interval).min(self.last_contact + MISSED_UPDATE_DEADLINE));
+                self.update_deadline = interval_end.unwrap_or(now);
+                self.schedule_call(now);
             }
             (State::Waiting { .. } | State::Calling { .. } | State::Watching { .. }, _) => {}
         }
@@ -280,33 +296,38 @@
 
     /// The earliest time at which something that is missed from now on counts as told; infinite while a watch is
     /// open that tells its end.
-    pub fn counts_at(&self) -> Millis {
+    pub fn update_deadline(&self) -> Millis {
         match self.state {
-            State::Watching { .. } if !self.rules.can_fall_silent => Millis::INFINITY,
-            State::Watching { alive, .. } => alive + MISSED_TOLD,
-            State::Waiting { .. } | State::Calling { .. } => self.counts_at,
+            State::Watching { .. } if !self.config.can_fall_silent => Millis::INFINITY,
+            State::Watching { last_activity, .. } => last_activity + MISSED_UPDATE_DEADLINE,
+            State::Waiting { .. } | State::Calling { .. } => self.update_deadline,
         }
     }
 
     /// Draws when to call again.
-    fn wait(&mut self, now: Millis) {
-        let latest = self.latest(now);
+    fn schedule_call(&mut self, now: Millis) {
+        let latest = self.latest_call(now);
         let until = match self.pace {
             Pace::Often => {
-                let often = self.rules.max_poll_interval.map_or(0.0, |within| within * OFTEN_SHARE);
-                let longest = self.window().min(often).min(latest - now);
-                self.between(now + OFTEN_LEAST, now + longest)
+                let often_interval =
+                    self.config.max_poll_interval.map_or(0.0, |interval| interval * OFTEN_FRACTION);
+                let longest = self.retry_window().min(often_interval).min(latest - now);
+                self.random_between(now + OFTEN_MIN_WAIT, now + longest)
             }
             Pace::Usual | Pace::Seldom => {
-                let times = if self.pace == Pace::Seldom { SELDOM } else { 1.0 };
-                let period = (times * self.period()).min(RETRY_PERIOD);
-                let (steady, end) = (self.contact + period * (1.0 - STEADY_SHARE), self.contact + period);
-                if self.failed_in_a_row() >= 2 && now < steady && end <= latest + SAME {
-                    self.between(steady, end)
+                let factor = if self.pace == Pace::Seldom { SELDOM_FACTOR } else { 1.0 };
+                let period = (factor * self.retry_period()).min(RETRY_PERIOD);
+                let (steady_start, period_end) =
+                    (self.last_contact + period * (1.0 - STEADY_FRACTION), self.last_contact + period);
+                if self.consecutive_failures() >= 2
+                    && now < steady_start
+                    && period_end <= latest + TIME_TOLERANCE
+                {
+                    self.random_between(steady_start, period_end)
                 } else {
-                    let least = if self.failures > 0 { LEAST_WAIT } else { 0.0 };
-                    let window = (times * self.window()).min(latest - now);
-                    self.between(now + least, now + window)
+                    let min_wait = if self.failures > 0 { MIN_RETRY_WAIT } else { 0.0 };
+                    let window = (factor * self.retry_window()).min(latest - now);
+                    self.random_between(now + min_wait, now + window)
                 }
             }
         };
@@ -315,37 +336,42 @@
 
     /// When the next call has to begin so that its answer comes before what is missed counts as told, as far as that
     /// is still to be had, whoever else asks.
-    fn latest(&self, now: Millis) -> Millis {
-        let in_period = self.contact + RETRY_PERIOD;
-        let latest = if now < self.counts_at { in_period.min(self.counts_at - CALL) } else { in_period };
-        latest.max(now + LEAST_WINDOW)
+    fn latest_call(&self, now: Millis) -> Millis {
+        let period_end = self.last_contact + RETRY_PERIOD;
+        let latest = if now < self.update_deadline {
+            period_end.min(self.update_deadline - CALL_TIMEOUT)
+        } else {
+            period_end
+        };
+        latest.max(now + MIN_RETRY_WINDOW)
     }
 
     /// A time drawn evenly; the first, where the second is not later.
-    fn between(&mut self, first: Millis, last: Millis) -> Millis {
-        first + (last - first).max(0.0) * self.rng.rand_float()
+    fn random_between(&mut self, earliest: Millis, latest: Millis) -> Millis {
+        earliest + (latest - earliest).max(0.0) * self.rng.rand_float()
     }
 
     /// Calls that failed, and watches that were short beyond those that are free.
-    fn failed_in_a_row(&self) -> u32 {
-        self.failures + self.short.saturating_sub(SHORT_FREE)
+    fn consecutive_failures(&self) -> u32 {
+        self.failures + self.short_watches.saturating_sub(FREE_SHORT_WATCHES)
     }
 
     /// The window for the next call by what came before it alone.
-    fn window(&self) -> Millis {
-        match (self.failed_in_a_row(), self.rules.max_poll_interval) {
-            (0, None) => BROKEN_WINDOW_PUSHED,
-            (0, Some(_)) => BROKEN_WINDOW,
-            _ => self.period(),
+    fn retry_window(&self) -> Millis {
+        match (self.consecutive_failures(), self.config.max_poll_interval) {
+            (0, None) => WATCH_ENDED_WINDOW_PUSHED,
+            (0, Some(_)) => WATCH_ENDED_WINDOW,
+            _ => self.retry_period(),
         }
     }
 
     /// The time from the begin of one call to that of the next while calls fail.
-    fn period(&self) -> Millis {
-        let Some(max_poll_interval) = self.rules.max_poll_interval else { return RETRY_PERIOD_PUSHED };
-        let first = (ASK_SHARE * max_poll_interval).max(LEAST_WINDOW);
+    fn retry_period(&self) -> Millis {
+        let Some(max_poll_interval) = self.config.max_poll_interval else { return RETRY_PERIOD_PUSHED };
+        let first_period = (POLL_INTERVAL_FRACTION * max_poll_interval).max(MIN_RETRY_WINDOW);
         // Who has no list refuses all. Else the wait and the call after it fit into the time for asking.
-        let period = if self.empty { first } else { first.max(max_poll_interval - CALL) };
+        let period =
+            if self.no_list { first_period } else { first_period.max(max_poll_interval - CALL_TIMEOUT) };
         period.min(RETRY_PERIOD)
     }
 }
--- a/crates/listclock/tests/table.rs
+++ b/crates/listclock/tests/table.rs
@@ -59,18 +59,18 @@
             for at in [2_900.0, 4_800.0] {
                 clock.observe(at, ListEvent::KeepAlive);
             }
-            assert_eq!((clock.due(), clock.counts_at()), (Some(7_800.0), 10_800.0));
+            assert_eq!((clock.due(), clock.update_deadline()), (Some(7_800.0), 10_800.0));
             assert_eq!(clock.poll(7_800.0), Some(Command::Cancel));
             let at = call(&mut clock);
             assert!(at <= 8_800.0, "{at}");
-            assert_eq!(clock.counts_at(), 10_800.0, "a call alone does not put it off");
+            assert_eq!(clock.update_deadline(), 10_800.0, "a call alone does not put it off");
             // The call fails at once, by an overfull discovery: there is time for another.
             clock.observe(at + 100.0, ListEvent::Ended);
-            assert_eq!(clock.counts_at(), 10_800.0);
+            assert_eq!(clock.update_deadline(), 10_800.0);
             let next = call(&mut clock) - at;
             assert!(next <= 600.0, "{next}");
             clock.observe(at + next + 10.0, ListEvent::Answered);
-            assert_eq!(clock.counts_at(), at + next + 10.0 + MISSED_TOLD);
+            assert_eq!(clock.update_deadline(), at + next + 10.0 + MISSED_UPDATE_DEADLINE);
         }
     }
 }
@@ -84,14 +84,14 @@
             assert_eq!(clock.poll(at), None);
             clock.observe(at, ListEvent::PartialList);
         }
-        assert_eq!((clock.due(), clock.counts_at()), (Some(5_000.0), 7_000.0));
+        assert_eq!((clock.due(), clock.update_deadline()), (Some(5_000.0), 7_000.0));
         assert_eq!(clock.poll(5_000.0), Some(Command::Cancel));
         // One that is whole in time is life.
         call(&mut clock);
         clock.observe(7_000.0, ListEvent::Answered);
         clock.observe(9_000.0, ListEvent::PartialList);
         clock.observe(9_500.0, ListEvent::List);
-        assert_eq!(clock.due(), Some(9_500.0 + SILENCE));
+        assert_eq!(clock.due(), Some(9_500.0 + SILENCE_TIMEOUT));
     }
 }
 
@@ -104,8 +104,8 @@
                 // Each watch ends as soon as it has told its list: a plain answer.
                 clock.observe(now, ListEvent::Ended);
                 let alive = if calls == 0 { 1_000.0 } else { now };
-                let counts = if rules == ASKED { alive + MISSED_TOLD } else { now };
-                assert_eq!(clock.counts_at(), counts);
+                let counts = if rules == ASKED { alive + MISSED_UPDATE_DEADLINE } else { now };
+                assert_eq!(clock.update_deadline(), counts);
                 let at = call(&mut clock);
                 assert!(calls > 1 || at - now <= first, "{}", at - now);
                 assert!(at - now <= RETRY_PERIOD);
@@ -128,12 +128,16 @@
         clock.observe(3_000.0, ListEvent::KeepAlive);
         clock.observe(5_000.0, ListEvent::Ended);
         let at = call(&mut clock);
-        assert_eq!((clock.due(), clock.counts_at()), (Some(at + CALL), 9_000.0));
-        assert_eq!(clock.poll(at + CALL), Some(Command::Cancel));
-        assert_eq!(clock.counts_at(), at + MISSED_TOLD, "whatever is allowed after a failed call");
+        assert_eq!((clock.due(), clock.update_deadline()), (Some(at + CALL_TIMEOUT), 9_000.0));
+        assert_eq!(clock.poll(at + CALL_TIMEOUT), Some(Command::Cancel));
+        assert_eq!(
+            clock.update_deadline(),
+            at + MISSED_UPDATE_DEADLINE,
+            "whatever is allowed after a failed call"
+        );
         // What a call given up still says changes nothing.
-        clock.observe(at + CALL, ListEvent::Answered);
-        clock.observe(at + CALL, ListEvent::Ended);
+        clock.observe(at + CALL_TIMEOUT, ListEvent::Answered);
+        clock.observe(at + CALL_TIMEOUT, ListEvent::Ended);
         assert!(clock.due().expect("a time") <= at + RETRY_PERIOD, "the next call has time to be answered");
     }
 }
@@ -143,13 +147,13 @@
     for rules in [ASKED, PUSHED] {
         for seed in 0..SEEDS {
             let mut clock = PollSchedule::new(rules, Start::Moved, seed, 0.0);
-            assert_eq!(clock.counts_at(), 4_000.0);
+            assert_eq!(clock.update_deadline(), 4_000.0);
             // The new address refuses at first.
             for _ in 0..3 {
                 let at = call(&mut clock);
                 assert!(at <= 1_500.0 + 450.0, "{at}");
                 clock.observe(at + 1.0, ListEvent::Ended);
-                assert_eq!(clock.counts_at(), 4_000.0);
+                assert_eq!(clock.update_deadline(), 4_000.0);
             }
         }
     }
@@ -209,7 +213,7 @@
 #[test]
 fn where_nothing_falls_silent_nothing_is_given_up() {
     for mut clock in watching(ScheduleConfig { can_fall_silent: false, ..ASKED }).take(9) {
-        assert_eq!((clock.due(), clock.counts_at()), (None, Millis::INFINITY));
+        assert_eq!((clock.due(), clock.update_deadline()), (None, Millis::INFINITY));
         assert_eq!(clock.poll(1e9), None);
         clock.observe(1e9, ListEvent::Ended);
         call(&mut clock);
@@ -311,7 +315,7 @@
         match failure {
             Failure::Refused => clock.observe(at, ListEvent::Ended),
             Failure::RefusedAfter(wait) => clock.observe(at + wait, ListEvent::Ended),
-            Failure::Silent => assert_eq!(clock.poll(at + CALL), Some(Command::Cancel)),
+            Failure::Silent => assert_eq!(clock.poll(at + CALL_TIMEOUT), Some(Command::Cancel)),
         }
     }
 }
@@ -331,13 +335,13 @@
                 let back = 500.0 * f64::from(back) + seed as f64;
                 for start in [Start::NoList, Start::HasList, Start::Moved] {
                     let mut clock = PollSchedule::new(rules, start, seed, 0.0);
-                    let at = answered(&mut clock, failure, back, CALL);
+                    let at = answered(&mut clock, failure, back, CALL_TIMEOUT);
                     longest = longest.max(at - back);
                 }
             }
         }
         println!("{rules:?} {failure:?}: {longest:.0} ms");
-        assert!(longest <= MISSED_TOLD + 1e-6, "{rules:?} {failure:?}: {longest}");
+        assert!(longest <= MISSED_UPDATE_DEADLINE + 1e-6, "{rules:?} {failure:?}: {longest}");
     }
 }
 
@@ -347,14 +351,14 @@
     for rules in [ASKED, PUSHED] {
         for mut clock in watching(rules) {
             assert_eq!(clock.poll(4_000.0), Some(Command::Cancel));
-            assert!(call(&mut clock) + CALL <= 1_000.0 + MISSED_TOLD);
+            assert!(call(&mut clock) + CALL_TIMEOUT <= 1_000.0 + MISSED_UPDATE_DEADLINE);
         }
         for mut clock in watching(rules) {
             for _ in 0..6 {
                 let alive = call_after_short_watch(&mut clock);
                 let at = call(&mut clock);
-                assert!(at + CALL <= alive + MISSED_TOLD, "{at} {alive}");
-                clock.observe(at + CALL, ListEvent::Answered);
+                assert!(at + CALL_TIMEOUT <= alive + MISSED_UPDATE_DEADLINE, "{at} {alive}");
+                clock.observe(at + CALL_TIMEOUT, ListEvent::Answered);
             }
         }
     }
@@ -362,7 +366,7 @@
 
 /// Ends a watch that has just told a list; when it did.
 fn call_after_short_watch(clock: &mut PollSchedule) -> Millis {
-    let alive = clock.counts_at() - MISSED_TOLD;
+    let alive = clock.update_deadline() - MISSED_UPDATE_DEADLINE;
     clock.observe(alive, ListEvent::List);
     clock.observe(alive + 1.0, ListEvent::Ended);
     alive
