--- a/crates/listclock/src/lib.rs
+++ b/crates/listclock/src/lib.rs
@@ -1,168 +1,192 @@
-//! The clock of the list: when discovery is called, when a call or a watch is given up, and by when what it would have
-//! told counts as told. No I/O, no clock and no randomness of its own: time, seed and what happened go in, the next
-//! command comes out. The sidecar on sockets and the simulator's adapter follow the same clock.
+//! The schedule of discovery polls and watches for the list of servers. It decides when to call discovery,
+//! when to cancel a call or a watch that makes no progress, and from when on a missed update counts as
+//! delivered (the _update deadline_): past that time the sidecar is treated as notified, whether or not it
+//! received the update.
 //!
-//! Whoever drives it asks [`PollSchedule::due`] when to come back, calls [`PollSchedule::poll`] then, carries out the command, and
-//! says with [`PollSchedule::observe`] what came of it. Where many meet (a start, the end of an outage) calls are spread by
-//! full jitter, evenly over a window ("Exponential Backoff and Jitter", AWS Architecture Blog, 2015). Whoever fails
-//! again keeps the phase that it drew, one [`RETRY_PERIOD`] after the other: so a call begins within a period of the
-//! moment at which discovery returns, whatever that moment is, and callers stay spread evenly over it. Why the windows
-//! are as wide as they are: `docs/design/list-clock.md`.
+//! The schedule performs no I/O, reads no clock and draws random numbers only from the seed that it is given.
+//! The driver passes in the time and events, and gets the next command back. The sidecar on real sockets and
+//! the simulator's adapter use the same schedule.
+//!
+//! The driver asks [`PollSchedule::due`] when to come back and calls [`PollSchedule::poll`] at that time. It
+//! carries out the returned command and reports the outcome with [`PollSchedule::observe`].
+//!
+//! Many sidecars may call at once, at a start or at the end of an outage. Full jitter therefore spreads the
+//! calls evenly over a window ("Exponential Backoff and Jitter", AWS Architecture Blog, 2015). A sidecar
+//! whose calls keep failing keeps the phase that it drew and calls once per [`RETRY_PERIOD`]. A call thus
+//! begins within one period of the moment at which discovery returns, whatever that moment is, and callers
+//! stay spread evenly over the period. `docs/design/list-clock.md` explains the widths of the windows.
 
 use oorandom::Rand64;
 
-/// Milliseconds: a point on the driver's clock, or a span.
+/// Milliseconds: a point on the driver's clock, or a duration.
 pub type Millis = f64;
 
-/// A call must be answered in this time, connecting included.
+/// The time in which discovery must answer a call, including the time to connect.
 pub const CALL_TIMEOUT: Millis = 2_500.0;
-/// While nothing changes an empty line comes every 2 s. A watch without a line or a list for so long is dead: with the
-/// first window and a call after it there is an answer by [`MISSED_UPDATE_DEADLINE`] unless that call takes long.
+/// A watch that carries neither an empty line nor a list for this long is dead. Discovery sends an empty line
+/// every 2 s while nothing changes. After this timeout, the first retry window and one more call, the answer
+/// arrives by [`MISSED_UPDATE_DEADLINE`], unless that call is slow.
 pub const SILENCE_TIMEOUT: Millis = 3_000.0;
-/// From its first byte on a list must be whole in this time: what never ends is no sign of life.
+/// The time from the first byte of a list in which the list must be complete. A list that never ends does not
+/// show that discovery is alive.
 pub const LIST_TIMEOUT: Millis = 3_000.0;
-/// What a silent watch misses counts as told so long after it fell silent; and whatever became of the calls, a change
-/// counts as told so long after discovery had it and could be reached.
+/// An update that a silent watch misses counts as delivered this long after the watch fell silent. Whatever
+/// became of the calls, a change also counts as delivered this long after discovery had it and was reachable.
 pub const MISSED_UPDATE_DEADLINE: Millis = 6_000.0;
-/// The longest time from the last sign of life of discovery, or from the begin of a call that failed, to the begin of
-/// the next call, which then has [`CALL_TIMEOUT`] left to be answered before what was missed counts as told.
+/// The longest time between the last sign of life of discovery, or the start of a call that failed, and the
+/// start of the next call. It leaves [`CALL_TIMEOUT`] for the answer before a missed update counts as
+/// delivered.
 pub const RETRY_PERIOD: Millis = MISSED_UPDATE_DEADLINE - CALL_TIMEOUT;
-/// What was listed counts as told so long after discovery moved.
+/// The content of the list counts as delivered this long after discovery moved to another address.
 const MOVED_UPDATE_DEADLINE: Millis = 4_000.0;
 
-/// From the second failure in a row on, a wait ends within this last share of what it may take: callers that were
-/// spread once stay spread, and do not lock into step with anything periodic.
+/// From the second consecutive failure on, a wait ends within this last fraction of the retry period. Callers
+/// that were spread once then stay spread, and do not synchronise with anything periodic.
 const STEADY_FRACTION: f64 = 0.05;
 
-/// The first call is spread over so much where nothing is known and all are refused until it is answered...
+/// The window of the first call of a process that has no list. The sidecar rejects every request until
+/// discovery answers that call.
 const NO_LIST_WINDOW: Millis = 200.0;
-/// ...where a list is known but what came since counts as told...
+/// The window of the first call of a process that has a list, where lists are pushed. Updates since that list
+/// already count as delivered.
 const PUSHED_START_WINDOW: Millis = 250.0;
-/// ...and where discovery has moved.
+/// The window of the first call after discovery moved to another address.
 const MOVED_WINDOW: Millis = 500.0;
-/// A watch that broke is asked for again within this, whether it broke alone or with all others: they spread over it.
+/// The window of the first call after a watch ended. It also applies if the watches of all sidecars end at
+/// once: their calls then spread over it.
 const WATCH_ENDED_WINDOW: Millis = 900.0;
-/// The same where lists are pushed and count as told at once...
+/// Replaces [`WATCH_ENDED_WINDOW`] where lists are pushed and count as delivered at once.
 const WATCH_ENDED_WINDOW_PUSHED: Millis = 300.0;
-/// ...and the time from one call that fails to the next there.
+/// The time from one failed call to the next where lists are pushed.
 const RETRY_PERIOD_PUSHED: Millis = 1_200.0;
-/// Where the time for asking is known, the first call of a process comes within this share of it; so do those after
-/// calls that failed, as long as there is no list.
+/// Where a maximum poll interval is set, the first call of a process that has a list comes within this
+/// fraction of it. So do calls after failed ones as long as there is no list.
 const POLL_INTERVAL_FRACTION: f64 = 0.25;
-/// The narrowest window for calls that fail, also where what was missed is about to count as told...
+/// The narrowest window after a failed call, also when a missed update is about to count as delivered.
 const MIN_RETRY_WINDOW: Millis = 400.0;
-/// ...and the shortest wait after one.
+/// The shortest wait after a failed call.
 const MIN_RETRY_WAIT: Millis = 200.0;
-/// Two times that differ by less are the same.
+/// Two times that differ by less than this are treated as equal.
 const TIME_TOLERANCE: Millis = 1.0;
-/// A watch that ended sooner than this after its answer was short. So many in a row are asked for again as if
-/// nothing were amiss; from then on they are waited for like calls that failed.
+/// A watch that ends sooner than this after discovery answered its call is a short watch.
 const SHORT_WATCH: Millis = 2_000.0;
+/// This many consecutive short watches are retried like any watch that ended. Each further one delays the
+/// next call as a failed call does.
 const FREE_SHORT_WATCHES: u32 = 2;
-/// Who asks for others does so after this share of the time for asking...
+/// The longest wait at [`Pace::Often`], as a fraction of the maximum poll interval, unless [`OFTEN_MIN_WAIT`]
+/// is longer.
 const OFTEN_FRACTION: f64 = 0.25;
-/// ...and after this at the soonest.
+/// The shortest wait at [`Pace::Often`].
 const OFTEN_MIN_WAIT: Millis = 500.0;
-/// Who is asked for by another waits so many times as long.
+/// Multiplies the waits at [`Pace::Seldom`], which stay bounded by [`RETRY_PERIOD`].
 const SELDOM_FACTOR: f64 = 4.0;
 
-/// What a deployment says of its discovery.
+/// The properties of a deployment's discovery that the schedule depends on.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ScheduleConfig {
-    /// Where discovery is asked: a sidecar must ask at least this often. `None` where lists are pushed.
+    /// The longest time that a sidecar may let pass between calls, where sidecars poll discovery. `None`
+    /// where discovery pushes lists.
     pub max_poll_interval: Option<Millis>,
-    /// Whether calls and watches can fall silent. The simulator tells each end.
+    /// Whether a call or a watch can stall without an end being reported. The simulator reports every end, so
+    /// nothing times out there.
     pub can_fall_silent: bool,
 }
 
-/// How a clock begins.
+/// The situation in which a schedule begins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Start {
     /// A new process without a list.
     NoList,
-    /// A new process with a list, maybe an old one.
+    /// A new process with a list, which may be outdated.
     HasList,
-    /// Discovery is elsewhere now.
+    /// Discovery has moved to another address.
     Moved,
 }
 
-/// What came of a command, or on a watch.
+/// The outcome of a command, or something that happened on a watch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListEvent {
-    /// The call was answered: a watch is open.
+    /// Discovery answered the call: a watch is open.
     Answered,
-    /// A whole list, or a whole set of changes.
+    /// A complete list or a complete set of changes arrived.
     List,
-    /// An empty line between two of them.
+    /// An empty line arrived between two lists.
     KeepAlive,
-    /// Some of a list, which is not whole yet.
+    /// Part of a list arrived, and the list is not complete yet.
     PartialList,
-    /// The call failed, the watch ended or broke, or something on it was missed and it was dropped.
+    /// The call failed, the watch ended or broke, or the driver dropped the watch because it had missed
+    /// something on it.
     Ended,
 }
 
-/// What is to be done now.
+/// What the driver has to do now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Command {
     /// Call discovery.
     Call,
-    /// Drop the call or the watch. No [`ListEvent::Ended`] is owed for it.
+    /// Drop the call or the watch. The driver need not report [`ListEvent::Ended`] for it.
     Cancel,
 }
 
-/// How eagerly discovery is asked while it does not answer.
+/// How often a sidecar calls discovery while discovery does not answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Pace {
-    /// As a sidecar by itself asks.
+    /// The rate of a sidecar that calls only for itself.
     #[default]
     Usual,
-    /// For others that ask seldom meanwhile.
+    /// The higher rate of a sidecar that calls on behalf of others, which call seldom meanwhile.
     Often,
-    /// Another asks for it and tells what it hears.
+    /// The lower rate of a sidecar on whose behalf another one calls and passes on what it receives.
     Seldom,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum State {
+    /// No call or watch is open.
     Waiting {
+        /// When the next call begins.
         until: Millis,
     },
+    /// A call has not been answered yet.
     Calling {
+        /// When the call began.
         since: Millis,
     },
+    /// A watch is open.
     Watching {
-        /// When it was answered.
+        /// When discovery answered the call.
         answered_at: Millis,
-        /// The last whole list or empty line.
+        /// When the last complete list or empty line arrived.
         last_activity: Millis,
-        /// The first byte of a list that is not whole.
+        /// When the first byte of a list that is not complete yet arrived.
         partial_since: Option<Millis>,
     },
 }
 
-/// The clock of one sidecar's list.
+/// The schedule of one sidecar's calls to discovery and of its watches.
 #[derive(Debug)]
 pub struct PollSchedule {
     config: ScheduleConfig,
     rng: Rand64,
     state: State,
     pace: Pace,
-    /// Whether there is no list yet.
+    /// Whether the process has no list yet.
     no_list: bool,
-    /// Calls that failed, and watches that were short, one after the other.
+    /// The number of consecutive calls that failed.
     failures: u32,
+    /// The number of consecutive watches that were short.
     short_watches: u32,
-    /// When what is missed counts as told, while no watch is open.
+    /// When a missed update counts as delivered, while no watch is open.
     update_deadline: Millis,
-    /// Whether that stands also when further calls fail.
+    /// Whether further failed calls leave `update_deadline` as it is.
     deadline_fixed: bool,
-    /// The last sign of life, or when the last call began, if that failed: the next one begins within
-    /// [`RETRY_PERIOD`] of it.
+    /// The last sign of life of discovery, or the start of the last call if that call failed. The next call
+    /// begins within [`RETRY_PERIOD`] of it.
     last_contact: Millis,
 }
 
 impl PollSchedule {
-    /// A clock that begins now.
+    /// Creates a schedule that begins at `now`. `seed` determines every random draw.
     pub fn new(config: ScheduleConfig, start: Start, seed: u64, now: Millis) -> PollSchedule {
         let mut rng = Rand64::new(u128::from(seed));
         let window = match (start, config.max_poll_interval) {
@@ -193,12 +217,12 @@
         }
     }
 
-    /// Whether a call is out that is not answered.
+    /// Whether a call has begun and is not answered yet.
     pub fn is_calling(&self) -> bool {
         matches!(self.state, State::Calling { .. })
     }
 
-    /// When to poll; `None` where only news can change anything.
+    /// When to call [`Self::poll`] next. `None` if only an event can change the state.
     pub fn due(&self) -> Option<Millis> {
         match self.state {
             State::Waiting { until } => Some(until),
@@ -210,7 +234,7 @@
         }
     }
 
-    /// What is to be done now, if anything is due.
+    /// Returns the command to carry out now, if one is due.
     pub fn poll(&mut self, now: Millis) -> Option<Command> {
         self.due().filter(|due| *due <= now)?;
         match self.state {
@@ -231,8 +255,8 @@
         }
     }
 
-    /// Asks at another pace from now on. A wait that has begun is drawn anew: whoever asks more eagerly than before
-    /// does not wait longer for it, and whoever asks less eagerly not shorter. So those whose coordinator has gone ask
+    /// Sets the pace of calls from now on. A wait that has begun is drawn again: a faster pace never makes it
+    /// longer, and a slower pace never makes it shorter. Sidecars whose coordinator has failed therefore call
     /// again within their usual window, spread over it.
     pub fn set_pace(&mut self, now: Millis, pace: Pace) {
         let rank = |pace| match pace {
@@ -251,7 +275,8 @@
         }
     }
 
-    /// Takes in what came of the last command. What comes while nothing is open is passed over.
+    /// Records the outcome of the last command or an event on the watch. Events that arrive while neither a
+    /// call nor a watch is open are ignored.
     pub fn observe(&mut self, now: Millis, event: ListEvent) {
         match (&mut self.state, event) {
             (State::Calling { .. }, ListEvent::Answered) => {
@@ -261,7 +286,8 @@
             (State::Calling { since }, ListEvent::Ended) => {
                 self.last_contact = *since;
                 self.failures += 1;
-                // What was missed before stands until it counts as told; from then on only what comes is missed.
+                // The deadline of updates missed so far stays fixed until it passes. After that, only later
+                // updates can be missed.
                 self.deadline_fixed &= now < self.update_deadline;
                 if self.config.max_poll_interval.is_some() && !self.deadline_fixed {
                     self.update_deadline =
@@ -283,19 +309,19 @@
                 self.short_watches =
                     if now < *answered_at + SHORT_WATCH { self.short_watches + 1 } else { 0 };
                 self.last_contact = *last_activity;
-                let interval_end = self
+                let deadline = self
                     .config
                     .max_poll_interval
                     .map(|interval| (now + interval).min(self.last_contact + MISSED_UPDATE_DEADLINE));
-                self.update_deadline = interval_end.unwrap_or(now);
+                self.update_deadline = deadline.unwrap_or(now);
                 self.schedule_call(now);
             }
             (State::Waiting { .. } | State::Calling { .. } | State::Watching { .. }, _) => {}
         }
     }
 
-    /// The earliest time at which something that is missed from now on counts as told; infinite while a watch is
-    /// open that tells its end.
+    /// The earliest time at which an update missed from now on counts as delivered. Infinite while a watch is
+    /// open whose end is certain to be reported.
     pub fn update_deadline(&self) -> Millis {
         match self.state {
             State::Watching { .. } if !self.config.can_fall_silent => Millis::INFINITY,
@@ -304,7 +330,7 @@
         }
     }
 
-    /// Draws when to call again.
+    /// Draws the time of the next call and waits for it.
     fn schedule_call(&mut self, now: Millis) {
         let latest = self.latest_call(now);
         let until = match self.pace {
@@ -334,8 +360,9 @@
         self.state = State::Waiting { until };
     }
 
-    /// When the next call has to begin so that its answer comes before what is missed counts as told, as far as that
-    /// is still to be had, whoever else asks.
+    /// The latest start of the next call that lets its answer arrive before a missed update counts as
+    /// delivered, as far as that is still possible. It applies at every pace, also if another sidecar calls
+    /// on this one's behalf.
     fn latest_call(&self, now: Millis) -> Millis {
         let period_end = self.last_contact + RETRY_PERIOD;
         let latest = if now < self.update_deadline {
@@ -346,17 +373,17 @@
         latest.max(now + MIN_RETRY_WINDOW)
     }
 
-    /// A time drawn evenly; the first, where the second is not later.
+    /// Draws a time uniformly between the two. Returns `earliest` if `latest` is not after it.
     fn random_between(&mut self, earliest: Millis, latest: Millis) -> Millis {
         earliest + (latest - earliest).max(0.0) * self.rng.rand_float()
     }
 
-    /// Calls that failed, and watches that were short beyond those that are free.
+    /// The number of consecutive failed calls, plus the short watches beyond [`FREE_SHORT_WATCHES`].
     fn consecutive_failures(&self) -> u32 {
         self.failures + self.short_watches.saturating_sub(FREE_SHORT_WATCHES)
     }
 
-    /// The window for the next call by what came before it alone.
+    /// The window of the next call, from the number of consecutive failures and the configuration alone.
     fn retry_window(&self) -> Millis {
         match (self.consecutive_failures(), self.config.max_poll_interval) {
             (0, None) => WATCH_ENDED_WINDOW_PUSHED,
@@ -365,11 +392,12 @@
         }
     }
 
-    /// The time from the begin of one call to that of the next while calls fail.
+    /// The time from the start of one call to the start of the next while calls fail.
     fn retry_period(&self) -> Millis {
         let Some(max_poll_interval) = self.config.max_poll_interval else { return RETRY_PERIOD_PUSHED };
         let first_period = (POLL_INTERVAL_FRACTION * max_poll_interval).max(MIN_RETRY_WINDOW);
-        // Who has no list refuses all. Else the wait and the call after it fit into the time for asking.
+        // A sidecar without a list rejects every request, so it retries soon. With a list, the wait and the
+        // call after it together fit into the maximum poll interval.
         let period =
             if self.no_list { first_period } else { first_period.max(max_poll_interval - CALL_TIMEOUT) };
         period.min(RETRY_PERIOD)
