--- a/crates/node/src/rosters/discovery.rs
+++ b/crates/node/src/rosters/discovery.rs
@@ -17,7 +17,7 @@
 use hyper::client::conn::http1;
 use hyper::{Request, StatusCode, header};
 use hyper_util::rt::TokioIo;
-use listclock::{Clock, Command, ListEvent, Millis, Pace, Rules};
+use listclock::{Command, ListEvent, Millis, Pace, PollSchedule, ScheduleConfig};
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
@@ -52,16 +52,16 @@
 impl DiscoverySource for PlatformDiscovery {
     fn subscribe(&self, from: u64, start: SubscriptionStart) -> Subscription {
         let (start, replaced) = match start {
-            SubscriptionStart::NoList => (listclock::Start::Empty, None),
-            SubscriptionStart::HasList => (listclock::Start::Known, None),
+            SubscriptionStart::NoList => (listclock::Start::NoList, None),
+            SubscriptionStart::HasList => (listclock::Start::HasList, None),
             SubscriptionStart::Replaces(replaced) => (listclock::Start::Moved, replaced),
         };
         replaced.iter().for_each(Subscription::retire);
-        let rules = Rules { must_ask_in: self.must_ask_in, can_fall_silent: true };
+        let rules = ScheduleConfig { max_poll_interval: self.must_ask_in, can_fall_silent: true };
         let (address, events, seed) = (self.address, self.events.clone(), self.seed);
         let system_calls = self.system_calls.clone();
         Subscription::spawn(move |retired| {
-            let clock = Clock::new(rules, start, seed, 0.0);
+            let clock = PollSchedule::new(rules, start, seed, 0.0);
             let pace = events.pace();
             let epoch = Instant::now();
             let task = WatchTask {
@@ -92,7 +92,7 @@
     /// watch delivers it.
     version: u64,
     events: DiscoveryEvents,
-    clock: Clock,
+    clock: PollSchedule,
     /// The instant that is 0 on `clock`.
     epoch: Instant,
     /// Set when this subscription is retired: the task then starts no new call.
@@ -153,7 +153,7 @@
     async fn run(mut self) {
         while !self.events.is_closed() {
             let due = self.clock.due().and_then(|due| self.instant(due));
-            tokio::select! { ( ) = sleep_until ( due . unwrap_or_else ( || Instant :: now ( ) + Duration :: from_secs ( 60 ) ) ) => { } pace = next_pace ( & mut self . pace ) => { self . clock . ask ( self . millis ( ) , pace ) ; continue ; } }
+            tokio::select! { ( ) = sleep_until ( due . unwrap_or_else ( || Instant :: now ( ) + Duration :: from_secs ( 60 ) ) ) => { } pace = next_pace ( & mut self . pace ) => { self . clock . set_pace ( self . millis ( ) , pace ) ; continue ; } }
             if self.retired.load(Ordering::Relaxed) {
                 return;
             }
@@ -197,7 +197,7 @@
             if let Ok(output) = timeout_at(due, &mut future).await {
                 return Ok(output);
             }
-            if self.clock.poll(self.millis()) == Some(Command::GiveUp) {
+            if self.clock.poll(self.millis()) == Some(Command::Cancel) {
                 self.update_reachability(Reachability::Down);
                 bail!("{timeout_message}");
             }
@@ -243,7 +243,7 @@
                 self.clock.observe(now, ListEvent::List);
             }
             if json_stream.has_partial_value() {
-                self.clock.observe(now, ListEvent::Part);
+                self.clock.observe(now, ListEvent::PartialList);
             } else if lists.is_empty() && chunk.contains(&b'\n') {
                 // An empty line between lists is a keep-alive. Other whitespace there is not.
                 self.clock.observe(now, ListEvent::KeepAlive);
