--- a/crates/node/src/engine/mod.rs
+++ b/crates/node/src/engine/mod.rs
@@ -53,6 +53,7 @@
 #[cfg(test)]
 pub(crate) use channels::TestEvents;
 pub use channels::{EngineChannels, EngineControl, Inbox};
+
 pub use cluster::{ClusterSetup, ClusterStatus};
 pub use datagrams::{Datagram, DatagramLosses, DatagramSender, Mailbox};
 pub use discovery_source::{
@@ -304,7 +305,14 @@
         self.set_timer(Instant::now() + LOG_INTERVAL, Timer::LogCounters);
         loop {
             let due = self.timers.keys().next().map(|key| key.0);
-            tokio::select! { biased ; event = self . inbox . recv ( ) => match event { Some ( event ) => self . handle_event ( event ) , None => return , } , ( ) = sleep_until ( due . unwrap_or_else ( || Instant :: now ( ) + SWEEP_INTERVAL ) ) => { } }
+            tokio::select! {
+                biased;
+                event = self.inbox.recv() => match event {
+                    Some(event) => self.handle_event(event),
+                    None => return,
+                },
+                () = sleep_until(due.unwrap_or_else(|| Instant::now() + SWEEP_INTERVAL)) => {}
+            }
             self.fire_due_timers();
         }
     }
--- a/crates/node/src/rosters/discovery.rs
+++ b/crates/node/src/rosters/discovery.rs
@@ -153,7 +153,13 @@
     async fn run(mut self) {
         while !self.events.is_closed() {
             let due = self.clock.due().and_then(|due| self.instant(due));
-            tokio::select! { ( ) = sleep_until ( due . unwrap_or_else ( || Instant :: now ( ) + Duration :: from_secs ( 60 ) ) ) => { } pace = next_pace ( & mut self . pace ) => { self . clock . set_pace ( self . millis ( ) , pace ) ; continue ; } }
+            tokio::select! {
+                () = sleep_until(due.unwrap_or_else(|| Instant::now() + Duration::from_secs(60))) => {}
+                pace = next_pace(&mut self.pace) => {
+                    self.clock.set_pace(self.millis(), pace);
+                    continue;
+                }
+            }
             if self.retired.load(Ordering::Relaxed) {
                 return;
             }
--- a/crates/peers/tests/fleet/hostile.rs
+++ b/crates/peers/tests/fleet/hostile.rs
@@ -21,17 +21,47 @@
     cluster.run(3_000);
     let fact = Fact { kind: FactKind::RESIDENCY_RULES, key: u64::MAX, body: vec![1] };
     cluster.handle(0, Input::Publish(fact));
-    let received_fact = |o: &Output| matches ! ( o , Output :: FactReceived { owner : MemberId ( 0 ) , fact } if fact . key == u64 :: MAX );
+    let received_fact =
+        |o: &Output| matches!(o, Output::FactReceived { owner: MemberId(0), fact } if fact.key == u64::MAX);
     cluster.run_until(10_000, |cluster| cluster.outputs[2].iter().any(received_fact)).is_some()
 }
 
-proptest! { # ! [ proptest_config ( ProptestConfig { cases : 64 , failure_persistence : None , .. ProptestConfig :: default ( ) } ) ]
+proptest! {
+    #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, ..ProptestConfig::default() })]
 
-# [ test ] fn arbitrary_datagrams_are_harmless ( datagrams in vec ( vec ( any :: < u8 > ( ) , 0 .. 300 ) , 1 .. 8 ) ) { prop_assert ! ( works_after ( & datagrams ) ) ; }
+    #[test]
+    fn arbitrary_datagrams_are_harmless(datagrams in vec(vec(any::<u8>(), 0..300), 1..8)) {
+        prop_assert!(works_after(&datagrams));
+    }
 
-# [ test ] fn arbitrary_parts_after_a_valid_head_are_harmless ( parts in vec ( ( 0_u8 .. 12 , vec ( any :: < u8 > ( ) , 0 .. 240 ) ) , 1 .. 20 ) , incarnation in 0_u64 .. 1 << 54 , ) { let head = DatagramHeader :: new ( wire :: config_digest ( & config ( 3 , 0 ) ) , MemberId ( 1 ) , incarnation ) ; let datagrams : Vec < Vec < u8 >> = parts . iter ( ) . map ( | part | { let mut bytes = postcard :: to_allocvec ( & head ) . expect ( "the value can be encoded" ) ; bytes . extend ( postcard :: to_allocvec ( part ) . expect ( "the value can be encoded" ) ) ; bytes } ) . collect ( ) ; prop_assert ! ( works_after ( & datagrams ) ) ; }
+    #[test]
+    fn arbitrary_parts_after_a_valid_head_are_harmless(
+        parts in vec((0_u8..12, vec(any::<u8>(), 0..240)), 1..20),
+        incarnation in 0_u64..1 << 54,
+    ) {
+        let head = DatagramHeader::new(wire::config_digest(&config(3, 0)), MemberId(1), incarnation);
+        let datagrams: Vec<Vec<u8>> = parts.iter().map(|part| {
+            let mut bytes = postcard::to_allocvec(&head).expect("the value can be encoded");
+            bytes.extend(postcard::to_allocvec(part).expect("the value can be encoded"));
+            bytes
+        }).collect();
+        prop_assert!(works_after(&datagrams));
+    }
 
-# [ test ] fn flipped_bits_are_harmless ( flips in vec ( ( any :: < prop :: sample :: Index > ( ) , 0_u8 .. 8 ) , 1 .. 6 ) , seed in 0_u64 .. 50 ) { let mut cluster = Cluster :: new ( 3 , seed ) ; cluster . run ( 1_500 ) ; let mut datagrams = cluster . last_sent_by ( 1 ) ; for bytes in & mut datagrams { for ( position , bit ) in & flips { let position = position . index ( bytes . len ( ) ) ; bytes [ position ] ^= 1 << bit ; } } prop_assert ! ( works_after ( & datagrams ) ) ; } }
+    #[test]
+    fn flipped_bits_are_harmless(flips in vec((any::<prop::sample::Index>(), 0_u8..8), 1..6), seed in 0_u64..50) {
+        let mut cluster = Cluster::new(3, seed);
+        cluster.run(1_500);
+        let mut datagrams = cluster.last_sent_by(1);
+        for bytes in &mut datagrams {
+            for (position, bit) in &flips {
+                let position = position.index(bytes.len());
+                bytes[position] ^= 1 << bit;
+            }
+        }
+        prop_assert!(works_after(&datagrams));
+    }
+}
 
 #[test]
 fn foreign_datagrams_are_counted_and_dropped() {
--- a/crates/peers/tests/fleet/integration.rs
+++ b/crates/peers/tests/fleet/integration.rs
@@ -44,7 +44,10 @@
     standing: ServerState,
     why: ChangeReason,
 ) -> bool {
-    let matching = |output: &Output| matches ! ( output , Output :: ServerChanged { entry , why : reason } if entry . host == host && entry . state == standing && * reason == why );
+    let matching = |output: &Output| {
+        matches!(output, Output::ServerChanged { entry, why: reason }
+        if entry.host == host && entry.state == standing && *reason == why)
+    };
     cluster.outputs[member].iter().any(matching)
 }
 
--- a/crates/peers/tests/fleet/main.rs
+++ b/crates/peers/tests/fleet/main.rs
@@ -120,11 +120,7 @@
         all_members_alive(cluster) && cluster.peers[2].as_ref().map(|p| p.incarnation()) > previous
     };
     assert!(cluster.run_until(10_000, rejoined).is_some());
-    assert!(
-        cluster.outputs[2]
-            .iter()
-            .any(|o| matches ! ( o , Output :: Log ( note ) if note . contains ( "clock" ) ))
-    );
+    assert!(cluster.outputs[2].iter().any(|o| matches!(o, Output::Log(note) if note.contains("clock"))));
 }
 
 #[test]
--- a/crates/peers/tests/sum_of_leases.rs
+++ b/crates/peers/tests/sum_of_leases.rs
@@ -168,12 +168,26 @@
     edges.map(|at| u32::max(granted_in_window(at), granted_in_window(at - window))).max().unwrap_or(0)
 }
 
-proptest! { # ! [ proptest_config ( ProptestConfig { cases : 48 , failure_persistence : None , .. ProptestConfig :: default ( ) } ) ]
+proptest! {
+    #![proptest_config(ProptestConfig { cases: 48, failure_persistence: None, ..ProptestConfig::default() })]
 
-# [ test ] fn grants_in_any_window_stay_within_the_bound ( conditions in conditions ( ) ) { let grants = simulate ( & conditions , Timing :: default ( ) . drift ) ; let max = max_in_any_window ( & grants , conditions . window as f64 ) ; prop_assert ! ( max <= conditions . total , "{max} of {}" , conditions . total ) ; }
+    #[test]
+    fn grants_in_any_window_stay_within_the_bound(conditions in conditions()) {
+        let grants = simulate(&conditions, Timing::default().drift);
+        let max = max_in_any_window(&grants, conditions.window as f64);
+        prop_assert!(max <= conditions.total, "{max} of {}", conditions.total);
+    }
 
-/// The shares of the members add up to the bound, and no share shrinks when the bound grows.
-# [ test ] fn rights_sum_to_the_bound_and_only_grow_with_it ( count in 1_usize .. 40 , total in 0_u32 .. 200 , thing in any :: < u64 > ( ) ) { let ledger = LeaseTable :: new ( & config ( count , 0 ) , 0 , 1 , 1 ) ; let ledger = & ledger ; let rights = | total | ( 0 .. count ) . map ( move | m | ledger . quota ( thing , total , MemberId ( m as u16 ) ) ) ; prop_assert_eq ! ( rights ( total ) . sum :: < u32 > ( ) , total ) ; prop_assert ! ( rights ( total ) . zip ( rights ( total + 1 ) ) . all ( | ( smaller , larger ) | smaller <= larger ) ) ; } }
+    /// The shares of the members add up to the bound, and no share shrinks when the bound grows.
+    #[test]
+    fn rights_sum_to_the_bound_and_only_grow_with_it(count in 1_usize..40, total in 0_u32..200, thing in any::<u64>()) {
+        let ledger = LeaseTable::new(&config(count, 0), 0, 1, 1);
+        let ledger = &ledger;
+        let rights = |total| (0..count).map(move |m| ledger.quota(thing, total, MemberId(m as u16)));
+        prop_assert_eq!(rights(total).sum::<u32>(), total);
+        prop_assert!(rights(total).zip(rights(total + 1)).all(|(smaller, larger)| smaller <= larger));
+    }
+}
 
 /// Conditions without loss, duplicates, restarts and partitions.
 fn fault_free() -> Conditions {
--- a/crates/sagemast/src/endpoints/tests.rs
+++ b/crates/sagemast/src/endpoints/tests.rs
@@ -40,7 +40,19 @@
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    prop_oneof ! [ 1 => prop :: collection :: vec ( entry ( ) , 0 .. 12 ) . prop_map ( Step :: ReplaceList ) , 4 => entry ( ) . prop_map ( Step :: UpdateServer ) , 3 => ( 0.0 .. 80.0 ) . prop_map ( Step :: AdvanceTime ) , 2 => ( 0 .. 12_u64 , 1.0 .. 200.0 ) . prop_map ( | ( id , wait ) | Step :: Eject ( id , wait ) ) , 1 => ( 0 .. 12_u64 ) . prop_map ( Step :: Recover ) , 3 => ( 0 .. 12_u64 ) . prop_map ( Step :: StartAttempt ) , 3 => ( 0 .. 12_u64 ) . prop_map ( Step :: FinishAttempt ) , 2 => ( 0 .. 12_u64 , any :: < bool > ( ) ) . prop_map ( | ( id , failed ) | Step :: RecordOutcome ( id , failed ) ) , 1 => ( 0 .. 14_usize ) . prop_map ( Step :: SelectSubset ) , 1 => ( prop :: collection :: vec ( prop :: collection :: btree_set ( 0 .. 3_u64 , 0 .. 3 ) , 0 .. 3 ) , 0 .. 14_usize ) . prop_map ( | ( zone_sets , count ) | Step :: SetZoneSets ( zone_sets , count ) ) , ]
+    prop_oneof![
+        1 => prop::collection::vec(entry(), 0..12).prop_map(Step::ReplaceList),
+        4 => entry().prop_map(Step::UpdateServer),
+        3 => (0.0..80.0).prop_map(Step::AdvanceTime),
+        2 => (0..12_u64, 1.0..200.0).prop_map(|(id, wait)| Step::Eject(id, wait)),
+        1 => (0..12_u64).prop_map(Step::Recover),
+        3 => (0..12_u64).prop_map(Step::StartAttempt),
+        3 => (0..12_u64).prop_map(Step::FinishAttempt),
+        2 => (0..12_u64, any::<bool>()).prop_map(|(id, failed)| Step::RecordOutcome(id, failed)),
+        1 => (0..14_usize).prop_map(Step::SelectSubset),
+        1 => (prop::collection::vec(prop::collection::btree_set(0..3_u64, 0..3), 0..3), 0..14_usize)
+            .prop_map(|(zone_sets, count)| Step::SetZoneSets(zone_sets, count)),
+    ]
 }
 
 /// The estimates for the server of an attempt. No set depends on them.
@@ -126,12 +138,61 @@
     endpoints.advance_time(*now, &RULES);
 }
 
-proptest! { # ! [ proptest_config ( ProptestConfig { rng_seed : prop :: test_runner :: RngSeed :: Fixed ( 7 ) , .. ProptestConfig :: with_cases ( 400 ) } ) ]
+proptest! {
+    #![proptest_config(ProptestConfig { rng_seed: prop::test_runner::RngSeed::Fixed(7), ..ProptestConfig::with_cases(400) })]
 
-/// Guards against sets that lose, duplicate or misplace a server. After any sequence of events, the sets,
-/// the sum of the failure rates and the servers that can be drawn equal those that a scan of all servers
-/// gives.
-# [ test ] fn sets_equal_a_scan_of_all_servers ( steps in prop :: collection :: vec ( step ( ) , 1 .. 60 ) ) { let ( mut endpoints , mut now ) = ( Endpoints :: default ( ) , 0.0 ) ; for step in & steps { apply ( & mut endpoints , & mut now , step ) ; for zone_set in std :: iter :: once ( None ) . chain ( ( 0 .. endpoints . zone_sets . len ( ) ) . map ( Some ) ) { let zone_set_pools = endpoints . pools_of ( zone_set ) . expect ( "an existing zone set" ) ; let scanned = scan ( & endpoints , zone_set_pools , now ) ; let mut actual = BTreeMap :: new ( ) ; for ( locality , pools ) in zone_set_pools . pools . iter ( ) . enumerate ( ) { for ( pool , set ) in Pool :: ALL . iter ( ) . zip ( pools ) { for id in set { prop_assert ! ( actual . insert ( * id , ( locality , * pool ) ) . is_none ( ) , "{id:?} is in two sets" ) ; } } } prop_assert_eq ! ( & actual , & scanned ) ; let all : BTreeSet < UpstreamId > = scanned . keys ( ) . copied ( ) . collect ( ) ; prop_assert_eq ! ( drawn ( & endpoints , zone_set , DrawFrom :: AllServing ) , all , "zone set {:?}" , zone_set ) ; } let scanned = scan ( & endpoints , & endpoints . unrestricted , now ) ; let failures = scanned . keys ( ) . map ( | id | u64 :: from ( endpoints . servers [ id ] . failure_rate_ppm ) ) . sum :: < u64 > ( ) ; prop_assert_eq ! ( endpoints . failure_rate_sum , failures ) ; prop_assert ! ( endpoints . servers . values ( ) . all ( | s | s . serving || ! s . outstanding . is_empty ( ) ) ) ; for ( id , ( locality , pool ) ) in & scanned { let server = & endpoints . servers [ id ] ; let ready = * pool != Pool :: Waiting ; let warm = * pool == Pool :: Warm ; for ( from , member ) in [ ( DrawFrom :: LocalWarm , warm && * locality == 0 ) , ( DrawFrom :: Warm , warm ) , ( DrawFrom :: Ready , ready ) , ( DrawFrom :: AllServing , true ) , ( DrawFrom :: Zone ( server . zone ) , true ) , ( DrawFrom :: Cell ( server . cell ) , true ) , ] { prop_assert_eq ! ( drawn ( & endpoints , None , from ) . contains ( id ) , member , "{:?}, drawn from {:?}" , id , from ) ; } } } } }
+    /// Guards against sets that lose, duplicate or misplace a server. After any sequence of events, the sets,
+    /// the sum of the failure rates and the servers that can be drawn equal those that a scan of all servers
+    /// gives.
+    #[test]
+    fn sets_equal_a_scan_of_all_servers(steps in prop::collection::vec(step(), 1..60)) {
+        let (mut endpoints, mut now) = (Endpoints::default(), 0.0);
+        for step in &steps {
+            apply(&mut endpoints, &mut now, step);
+            for zone_set in std::iter::once(None).chain((0..endpoints.zone_sets.len()).map(Some)) {
+                let zone_set_pools = endpoints.pools_of(zone_set).expect("an existing zone set");
+                let scanned = scan(&endpoints, zone_set_pools, now);
+                let mut actual = BTreeMap::new();
+                for (locality, pools) in zone_set_pools.pools.iter().enumerate() {
+                    for (pool, set) in Pool::ALL.iter().zip(pools) {
+                        for id in set {
+                            prop_assert!(
+                                actual.insert(*id, (locality, *pool)).is_none(),
+                                "{id:?} is in two sets"
+                            );
+                        }
+                    }
+                }
+                prop_assert_eq!(&actual, &scanned);
+                let all: BTreeSet<UpstreamId> = scanned.keys().copied().collect();
+                prop_assert_eq!(
+                    drawn(&endpoints, zone_set, DrawFrom::AllServing), all, "zone set {:?}", zone_set
+                );
+            }
+            let scanned = scan(&endpoints, &endpoints.unrestricted, now);
+            let failures = scanned.keys().map(|id| u64::from(endpoints.servers[id].failure_rate_ppm)).sum::<u64>();
+            prop_assert_eq!(endpoints.failure_rate_sum, failures);
+            prop_assert!(endpoints.servers.values().all(|s| s.serving || !s.outstanding.is_empty()));
+            for (id, (locality, pool)) in &scanned {
+                let server = &endpoints.servers[id];
+                let ready = *pool != Pool::Waiting;
+                let warm = *pool == Pool::Warm;
+                for (from, member) in [
+                    (DrawFrom::LocalWarm, warm && *locality == 0),
+                    (DrawFrom::Warm, warm),
+                    (DrawFrom::Ready, ready),
+                    (DrawFrom::AllServing, true),
+                    (DrawFrom::Zone(server.zone), true),
+                    (DrawFrom::Cell(server.cell), true),
+                ] {
+                    prop_assert_eq!(
+                        drawn(&endpoints, None, from).contains(id), member, "{:?}, drawn from {:?}", id, from
+                    );
+                }
+            }
+        }
+    }
+}
 
 /// All servers that a draw can return, found by trying every index.
 fn drawn(endpoints: &Endpoints, zone_set: Option<usize>, from: DrawFrom) -> BTreeSet<UpstreamId> {
--- a/crates/sagemast/src/lib.rs
+++ b/crates/sagemast/src/lib.rs
@@ -1,4 +1,4 @@
-#! [ doc = include_str ! ( "../../../README.md" ) ]
+#![doc = include_str!("../../../README.md")]
 
 pub mod api;
 pub mod balancer;
--- a/crates/sagemast/tests/guided.rs
+++ b/crates/sagemast/tests/guided.rs
@@ -139,9 +139,10 @@
             let Some(upstream) = sent_to(&actions) else { continue };
             let outcome = if upstream.0 == 3 { Outcome::Reset } else { Outcome::Ok };
             let actions = stage.finish_attempt(request, 0, upstream, outcome, 1.0);
-            if actions.iter().any(
-                |action| matches ! ( action , Action :: Log { text , .. } if text . contains ( "ejected" ) ),
-            ) {
+            if actions
+                .iter()
+                .any(|action| matches!(action, Action::Log { text, .. } if text.contains("ejected")))
+            {
                 return;
             }
         }
--- a/crates/sagemast/tests/health.rs
+++ b/crates/sagemast/tests/health.rs
@@ -66,9 +66,8 @@
         let outcome = if index < 5 { Outcome::Reset } else { Outcome::Ok };
         logs.extend(stage.finish_attempt(request, 0, UpstreamId(1), outcome, 20.0));
     }
-    let logged = |text: &str| {
-        logs.iter().any(|a| matches ! ( a , Action :: Log { text : line , .. } if line . contains ( text ) ))
-    };
+    let logged =
+        |text: &str| logs.iter().any(|a| matches!(a, Action::Log { text: line, .. } if line.contains(text)));
     assert!(logged("ejected"), "five resets in a row");
     assert!(!logged("is back"), "no ejection probe was sent since the ejection");
 }
@@ -124,7 +123,7 @@
         stage.report_load(2, 3.0, 0.5);
         let (request, mut actions) = stage.arrive(NON_IDEMPOTENT);
         for attempt in 0.. {
-            let ejected = |a: &Action| matches ! ( a , Action :: Log { text , .. } if text . contains ( "ejected for" ) );
+            let ejected = |a: &Action| matches!(a, Action::Log { text, .. } if text.contains("ejected for"));
             assert!(!actions.iter().any(ejected), "ejected for being full");
             let Some(upstream) = sent_to(&actions) else { break };
             let outcome = if upstream.0 == 1 { Outcome::Full } else { Outcome::Ok };
