--- a/crates/sagemast/src/balancer.rs
+++ b/crates/sagemast/src/balancer.rs
@@ -19,8 +19,8 @@
 use crate::slow_start::SlowStart;
 use crate::state::*;
 
-/// A drawn server is probed when its load report is older than this. Servers do not refresh their figures
-/// more often, so that an earlier probe would return the same report.
+/// A drawn server is sent a load poll when its load report is older than this. Servers do not refresh their
+/// figures more often, so that an earlier load poll would return the same report.
 const REPORT_REFRESH_AGE: Millis = 300.0;
 /// From this age on a report loses weight over [`ESTIMATE_DECAY_TIME`], and the mean of all servers takes its
 /// place.
@@ -44,12 +44,12 @@
 const CAPACITY_SMOOTHING: f64 = 0.005;
 /// Number of reports that a size given by the server list counts for.
 const LISTED_CAPACITY_REPORTS: f64 = 20.0;
-/// A client's first attempt earns this share of its worth for probes; the platform states the price of a
-/// probe in the same unit. All sidecars probe the same servers, so that the more sidecars there are, the
-/// fewer probes each may send.
-const PROBE_SPENDING_SHARE: f64 = 0.02;
-/// Largest number of probes that can be saved up.
-const MAX_PROBE_BUDGET: f64 = 8.0;
+/// A client's first attempt earns this share of its worth for load polls; the platform states the price of a
+/// load poll in the same unit. All sidecars poll the same servers, so that the more sidecars there are, the
+/// fewer load polls each may send.
+const LOAD_POLL_SPENDING_SHARE: f64 = 0.02;
+/// Largest number of load polls that can be saved up.
+const MAX_LOAD_POLL_BUDGET: f64 = 8.0;
 /// Below this reported utilisation, the ratio of in-flight requests to utilisation is mostly rounding error.
 const MIN_REPORTED_UTILISATION: f64 = 0.1;
 /// Weight of a new sample in the slowness and in the failure rate of one server.
@@ -175,8 +175,10 @@
         self.slow_start.record_first_event(self.now);
         match event {
             Event::Arrived { request, class, tenant, time_left, is_retry: repeat } => {
-                let earned = if repeat { 0.0 } else { PROBE_SPENDING_SHARE / self.settings.load_poll_cost };
-                self.estimates.probe_budget = (self.estimates.probe_budget + earned).min(MAX_PROBE_BUDGET);
+                let earned =
+                    if repeat { 0.0 } else { LOAD_POLL_SPENDING_SHARE / self.settings.load_poll_cost };
+                self.estimates.load_poll_budget =
+                    (self.estimates.load_poll_budget + earned).min(MAX_LOAD_POLL_BUDGET);
                 self.on_arrived(
                     request,
                     PendingRequest::new(class, tenant, self.now, time_left.max(0.0)),
@@ -188,7 +190,9 @@
                 self.on_finished(end, actions);
             }
             Event::Abandoned(request) => self.close_request(request, actions),
-            Event::LoadPolled { upstream, answered, report } => self.on_probed(upstream, answered, report),
+            Event::LoadPolled { upstream, answered, report } => {
+                self.on_load_polled(upstream, answered, report)
+            }
             Event::Listed(update) => self.on_list_update(update),
             Event::Guided(guidance) => {
                 let before = self.budgets();
@@ -229,8 +233,8 @@
         self.slow_start.record_arrival(id, class.latency_objective * INITIAL_SERVICE_TIME_SHARE);
         self.requests.insert(request, pending);
         // The cluster assigns these servers to this sidecar alone, and the other members get their load from
-        // it. They are probed even if no request draws them.
-        self.guidance.next_probe().into_iter().for_each(|id| self.probe(id, actions));
+        // it. They are sent load polls even if no request draws them.
+        self.guidance.next_load_poll().into_iter().for_each(|id| self.poll_load(id, actions));
         match self.guidance.admission_probability(id) {
             Some(probability) if self.rng.rand_float() >= probability => {
                 self.reject_or_fail(request, Reason::Shed, actions)
@@ -324,14 +328,14 @@
                 }
                 cold_drawn |= server.pool == Pool::Cold;
                 if self.slow_start_admits(&server) {
-                    ids.into_iter().flatten().for_each(|id| self.probe(id, actions));
+                    ids.into_iter().flatten().for_each(|id| self.poll_load(id, actions));
                     return Some(server);
                 }
             }
         }
-        // The last pair is probed even so. Otherwise the servers' estimates could never show free capacity
-        // again.
-        last.iter().flatten().for_each(|server| self.probe(server.id, actions));
+        // The last pair is sent load polls even so. Otherwise the servers' estimates could never show free
+        // capacity again.
+        last.iter().flatten().for_each(|server| self.poll_load(server.id, actions));
         self.log_rejection(request, pending, &last, actions);
         None
     }
@@ -530,16 +534,17 @@
             * (-(self.now - upstream.slowness_updated_at) / ESTIMATE_DECAY_TIME).exp()
     }
 
-    /// Probes a server's load if its report is old enough, no probe is under way and the budget allows it.
-    fn probe(&mut self, id: UpstreamId, actions: &mut Vec<Action>) {
-        let may = self.guidance.may_probe(id)
+    /// Sends a server a load poll if its report is old enough, no load poll is under way and the budget allows
+    /// it.
+    fn poll_load(&mut self, id: UpstreamId, actions: &mut Vec<Action>) {
+        let may = self.guidance.may_poll_load(id)
             && self.settings.limits.load_polls
-            && self.estimates.probe_budget >= 1.0;
+            && self.estimates.load_poll_budget >= 1.0;
         let Some(server) = self.endpoints.get_mut(id).filter(|server| may && server.serving) else { return };
-        let waiting = server.probe_sent_at.is_some_and(|sent_at| self.now - sent_at < REPORT_STALE_AGE);
+        let waiting = server.load_poll_sent_at.is_some_and(|sent_at| self.now - sent_at < REPORT_STALE_AGE);
         if !waiting && self.now - server.reported_at > REPORT_REFRESH_AGE {
-            server.probe_sent_at = Some(self.now);
-            self.estimates.probe_budget -= 1.0;
+            server.load_poll_sent_at = Some(self.now);
+            self.estimates.load_poll_budget -= 1.0;
             actions.push(Action::PollLoad(id));
         }
     }
@@ -791,9 +796,9 @@
         }
     }
 
-    fn on_probed(&mut self, id: UpstreamId, answered: bool, report: Option<LoadReport>) {
+    fn on_load_polled(&mut self, id: UpstreamId, answered: bool, report: Option<LoadReport>) {
         let Some(upstream) = self.endpoints.get_mut(id) else { return };
-        upstream.probe_sent_at = None;
+        upstream.load_poll_sent_at = None;
         if let (Some(report), true) = (report, answered) {
             self.record_report(id, report, 0.0);
         }
@@ -823,8 +828,8 @@
         server.others_in_flight +=
             (1.0 - (-since / OTHERS_AVERAGING_TIME).exp()) * (others - server.others_in_flight);
         server.reported_at = at;
-        // The mean of all servers moves by elapsed time. If many sidecars share the probes, reports arrive
-        // too rarely here for an average by their count.
+        // The mean of all servers moves by elapsed time. If many sidecars share the load polls, reports
+        // arrive too rarely here for an average by their count.
         let elapsed = self.now - std::mem::replace(&mut self.estimates.others_updated_at, self.now);
         let step = GLOBAL_SMOOTHING.max(1.0 - (-elapsed / OTHERS_AVERAGING_TIME).exp());
         self.estimates.others_in_flight += step * (server.others_in_flight - self.estimates.others_in_flight);
--- a/crates/sagemast/src/cluster_guidance.rs
+++ b/crates/sagemast/src/cluster_guidance.rs
@@ -15,8 +15,8 @@
 #[derive(Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct ClusterGuidance {
     current: Guidance,
-    /// The assigned server that was probed last.
-    last_probed: Option<UpstreamId>,
+    /// The assigned server that was sent a load poll last.
+    last_polled: Option<UpstreamId>,
     /// The zones that requests may go to. Without it, they may go anywhere.
     pub residency: Option<Residency>,
 }
@@ -48,17 +48,17 @@
         self.current.admit_probability.get(class.0).copied()
     }
 
-    /// Returns whether this sidecar may probe a server's load.
-    pub fn may_probe(&self, id: UpstreamId) -> bool {
+    /// Returns whether this sidecar may send a server load polls.
+    pub fn may_poll_load(&self, id: UpstreamId) -> bool {
         self.current.load_poll_targets.as_ref().is_none_or(|assigned| assigned.contains(&id))
     }
 
-    /// Returns the next of the servers that the cluster assigns to this sidecar for load probes, in turn.
-    pub fn next_probe(&mut self) -> Option<UpstreamId> {
+    /// Returns the next of the servers that the cluster assigns to this sidecar for load polls, in turn.
+    pub fn next_load_poll(&mut self) -> Option<UpstreamId> {
         let assigned = self.current.load_poll_targets.as_ref()?;
-        let after = self.last_probed.map_or(Bound::Unbounded, Bound::Excluded);
-        self.last_probed = assigned.range((after, Bound::Unbounded)).next().or(assigned.first()).copied();
-        self.last_probed
+        let after = self.last_polled.map_or(Bound::Unbounded, Bound::Excluded);
+        self.last_polled = assigned.range((after, Bound::Unbounded)).next().or(assigned.first()).copied();
+        self.last_polled
     }
 
     /// Returns whether this sidecar may send an ejection probe to a server whose ejection time is over.
--- a/crates/sagemast/src/state.rs
+++ b/crates/sagemast/src/state.rs
@@ -174,8 +174,8 @@
     pub sidecars_per_server: f64,
     /// Running share of the requests for which no server had headroom.
     pub rejection_rate: f64,
-    /// Number of probes that arrivals have earned and that are not spent yet.
-    pub probe_budget: f64,
+    /// Number of load polls that arrivals have earned and that are not spent yet.
+    pub load_poll_budget: f64,
     /// Remaining retries and hedged requests of all classes together.
     pub retry_budget: Purse,
     /// Factor on the headroom, below 1 while answers are late. It returns to 1 with time.
@@ -238,8 +238,8 @@
     pub reported_at: Millis,
     /// The figures of the newest report. They show whether the next report repeats it.
     pub last_report: [f32; 3],
-    /// When a probe was sent that has not been answered yet.
-    pub probe_sent_at: Option<Millis>,
+    /// When a load poll was sent that has not been answered yet.
+    pub load_poll_sent_at: Option<Millis>,
     /// Attempts that the server has not answered, oldest first.
     pub outstanding: Vec<OutstandingAttempt>,
     /// Service time relative to the mean of all servers.
@@ -296,7 +296,7 @@
             others_in_flight: 0.0,
             reported_at: NEVER,
             last_report: [-1.0; 3],
-            probe_sent_at: None,
+            load_poll_sent_at: None,
             outstanding: Vec::new(),
             slowness: 1.0,
             slowness_updated_at: NEVER,
