--- a/crates/sagemast/src/balancer.rs
+++ b/crates/sagemast/src/balancer.rs
@@ -253,12 +253,12 @@
             Some(chosen) => self.send(
                 request,
                 chosen,
-                self.endpoints.serving_count(self.guidance.ring(&pending)) > 1,
+                self.endpoints.serving_count(self.guidance.zone_set(&pending)) > 1,
                 actions,
             ),
             None => self.reject_or_fail(
                 request,
-                self.endpoints.refusal_reason(self.guidance.ring(&pending)),
+                self.endpoints.refusal_reason(self.guidance.zone_set(&pending)),
                 actions,
             ),
         }
@@ -272,9 +272,9 @@
         pending: &PendingRequest,
         actions: &mut Vec<Action>,
     ) -> Option<Candidate> {
-        let ring = self.guidance.ring(pending);
-        let eligible = self.eligible_endpoints(ring, pending)?;
-        let untried_left = self.endpoints.count(ring, &[Pool::Warm, Pool::Cold]) > pending.attempts.len();
+        let zone_set = self.guidance.zone_set(pending);
+        let eligible = self.eligible_endpoints(zone_set, pending)?;
+        let untried_left = self.endpoints.count(zone_set, &[Pool::Warm, Pool::Cold]) > pending.attempts.len();
         let (max_slowdown, max_latency) =
             (self.slowdown_limit(), self.headroom_scale() * self.time_to_objective(pending));
         let max_occupancy = self.visibility_factor() * self.headroom_scale();
@@ -305,7 +305,7 @@
                 DrawFrom::Ready if cold_drawn => DrawFrom::Warm,
                 eligible => eligible,
             };
-            let drawn = self.draw_candidates(ring, from, round, pending);
+            let drawn = self.draw_candidates(zone_set, from, round, pending);
             let Some(ids) = drawn.map(|drawn| drawn.map(|s| s.map(|s| s.id))) else { continue };
             last = drawn.unwrap_or_default();
             let mut by_utilisation = last;
@@ -341,9 +341,9 @@
     }
 
     /// Returns the servers that a request may go to, given its earlier attempts that may have run.
-    fn eligible_endpoints(&self, ring: Option<usize>, pending: &PendingRequest) -> Option<DrawFrom> {
+    fn eligible_endpoints(&self, zone_set: Option<usize>, pending: &PendingRequest) -> Option<DrawFrom> {
         // If all servers are ejected, any of them is better than none.
-        let healthy = self.endpoints.count(ring, &[Pool::Warm, Pool::Cold]) > 0;
+        let healthy = self.endpoints.count(zone_set, &[Pool::Warm, Pool::Cold]) > 0;
         let any = Some(if healthy { DrawFrom::Ready } else { DrawFrom::AllServing });
         let Some(first) = pending.attempts.iter().find(|a| a.pending || a.may_have_run) else { return any };
         match self.settings.classes[pending.class.0].idempotency {
--- a/crates/sagemast/src/cluster_guidance.rs
+++ b/crates/sagemast/src/cluster_guidance.rs
@@ -94,9 +94,9 @@
             .map_or(fraction, |[from, to]| (from + (to - from) * fraction).clamp(0.0, 1.0))
     }
 
-    /// Returns the index of the ring of zones that a request's servers are drawn from, if it has one.
-    pub fn ring(&self, pending: &PendingRequest) -> Option<usize> {
-        self.residency.as_ref()?.ring(pending.class, pending.tenant)
+    /// Returns the index of the zone set that a request's servers are drawn from, if it has one.
+    pub fn zone_set(&self, pending: &PendingRequest) -> Option<usize> {
+        self.residency.as_ref()?.zone_set(pending.class, pending.tenant)
     }
 
     /// Returns whether a request may go to a zone.
@@ -106,30 +106,30 @@
 }
 
 impl Residency {
-    /// Returns the index of a class's ring. A class without an entry gets the index of a ring that does not
-    /// exist and may go nowhere: its rules are not known yet.
-    fn ring_of_class(&self, class: ClassId) -> Option<usize> {
+    /// Returns the index of a class's zone set. A class without an entry gets the index of a zone set that
+    /// does not exist and may go nowhere: its rules are not known yet.
+    fn zone_set_of_class(&self, class: ClassId) -> Option<usize> {
         self.classes.get(class.0).copied().unwrap_or(Some(usize::MAX))
     }
 
-    /// Returns the index of a tenant's ring. A tenant without an entry may go anywhere.
-    fn ring_of_tenant(&self, tenant: TenantId) -> Option<usize> {
+    /// Returns the index of a tenant's zone set. A tenant without an entry may go anywhere.
+    fn zone_set_of_tenant(&self, tenant: TenantId) -> Option<usize> {
         self.tenants.get(tenant.0).copied().flatten()
     }
 
-    /// Returns the index of the ring that a request's servers are drawn from. The class's ring takes
+    /// Returns the index of the zone set that a request's servers are drawn from. The class's zone set takes
     /// precedence.
-    fn ring(&self, class: ClassId, tenant: TenantId) -> Option<usize> {
-        self.ring_of_class(class).or(self.ring_of_tenant(tenant))
+    fn zone_set(&self, class: ClassId, tenant: TenantId) -> Option<usize> {
+        self.zone_set_of_class(class).or(self.zone_set_of_tenant(tenant))
     }
 
-    /// Returns whether a request may go to a zone. Both the ring of its class and that of its tenant must
+    /// Returns whether a request may go to a zone. Both the zone set of its class and that of its tenant must
     /// allow the zone.
     pub fn allows(&self, class: ClassId, tenant: TenantId, zone: ZoneId) -> bool {
-        let rings = [self.ring_of_class(class), self.ring_of_tenant(tenant)];
-        rings
+        let zone_sets = [self.zone_set_of_class(class), self.zone_set_of_tenant(tenant)];
+        zone_sets
             .into_iter()
             .flatten()
-            .all(|ring| self.zone_sets.get(ring).is_some_and(|zones| zones.contains(&zone)))
+            .all(|index| self.zone_sets.get(index).is_some_and(|zones| zones.contains(&zone)))
     }
 }
--- a/crates/sagemast/src/explain.rs
+++ b/crates/sagemast/src/explain.rs
@@ -38,8 +38,8 @@
             drawn if drawn.is_empty() => "none".to_owned(),
             drawn => format!("[{}]", drawn.join(", ")),
         };
-        let ring = self.guidance.ring(pending);
-        let [warm, cold, trial, waiting] = Pool::ALL.map(|pool| self.endpoints.count(ring, &[pool]));
+        let zone_set = self.guidance.zone_set(pending);
+        let [warm, cold, trial, waiting] = Pool::ALL.map(|pool| self.endpoints.count(zone_set, &[pool]));
         let text = format!(
             "request {} of class {} has no place: aim_left={:.0} room={:.2} tries={} warm={warm} cold={cold} \
              trial={trial} ejected={waiting} drawn={drawn}; service={:.0} room_scale={:.2} refused={:.2} \
@@ -56,7 +56,8 @@
             estimates.all_servers.capacity_per_weight(),
             estimates.others_in_flight,
         );
-        let text = ring.map_or(text.clone(), |ring| format!("{text}; may only go to ring {ring}"));
+        let text =
+            zone_set.map_or(text.clone(), |zone_set| format!("{text}; may only go to ring {zone_set}"));
         actions.push(Action::Log { about: Some(request), text });
     }
 }
