--- a/crates/sagemast/src/api.rs
+++ b/crates/sagemast/src/api.rs
@@ -80,7 +80,7 @@
 pub struct Class {
     /// An answer within this time earns the full priority weight.
     pub latency_objective: Millis,
-    /// What an answer within the latency objective is worth.
+    /// What an answer within the latency objective earns.
     pub priority_weight: f64,
     /// The fraction of the priority weight that an answer after the latency objective still earns.
     pub late_weight: f64,
--- a/crates/sagemast/src/balancer.rs
+++ b/crates/sagemast/src/balancer.rs
@@ -44,9 +44,9 @@
 const CAPACITY_SMOOTHING: f64 = 0.005;
 /// Number of reports that a size given by the server list counts for.
 const LISTED_CAPACITY_REPORTS: f64 = 20.0;
-/// A client's first attempt earns this share of its worth for load polls; the platform states the price of a
-/// load poll in the same unit. All sidecars poll the same servers, so that the more sidecars there are, the
-/// fewer load polls each may send.
+/// A client's first attempt earns this share of its priority weight for load polls; the platform states the
+/// price of a load poll in the same unit. All sidecars poll the same servers, so that the more sidecars there
+/// are, the fewer load polls each may send.
 const LOAD_POLL_SPENDING_SHARE: f64 = 0.02;
 /// Largest number of load polls that can be saved up.
 const MAX_LOAD_POLL_BUDGET: f64 = 8.0;
@@ -70,12 +70,12 @@
 /// Headroom shrinks while more than this share of the accepted requests is answered late: crowded servers
 /// slow down in ways that the estimates do not predict.
 const LATE_ANSWERS_TARGET: f64 = 0.15;
-/// Exponent that weights a request's relative worth in its admission probability when nearly all requests are
+/// Exponent of a request's relative priority weight in its admission probability when nearly all requests are
 /// rejected.
 const PRIORITY_STRENGTH: f64 = 0.8;
 /// Rejection rate at which the exponent is half of [`PRIORITY_STRENGTH`].
 const PRIORITY_HALF_STRENGTH_AT: f64 = 0.1;
-/// Lower bound for the factor that a class's worth contributes to the admission probability.
+/// Lower bound for the factor that a class's priority weight contributes to the admission probability.
 const MIN_PRIORITY_FACTOR: f64 = 0.7;
 /// A server is sent at most as many requests as it works on at once, and this share of them in addition, to
 /// queue there. Its response time may be longer by the same share. This value applies to a sidecar that does
@@ -227,8 +227,8 @@
         for (number, share) in self.estimates.tenant_shares.iter_mut().enumerate() {
             *share += GLOBAL_SMOOTHING * (f64::from(u8::from(number == pending.tenant.0)) - *share);
         }
-        let density = self.worth_density(pending.class);
-        let mean = self.estimates.mean_worth_density.get_or_insert(density);
+        let density = self.weight_density(pending.class);
+        let mean = self.estimates.mean_weight_density.get_or_insert(density);
         *mean += GLOBAL_SMOOTHING * (density - *mean);
         self.slow_start.record_arrival(id, class.latency_objective * INITIAL_SERVICE_TIME_SHARE);
         self.requests.insert(request, pending);
@@ -382,12 +382,12 @@
     /// a probability and not a tighter limit: where sidecars know little more than the mean of all servers,
     /// a limit admits either all requests of a class or none.
     fn admission_probability(&self, pending: &PendingRequest) -> f64 {
-        let density = self.worth_density(pending.class);
-        let mean = self.estimates.mean_worth_density.unwrap_or(density);
+        let density = self.weight_density(pending.class);
+        let mean = self.estimates.mean_weight_density.unwrap_or(density);
         let strength = PRIORITY_STRENGTH * self.estimates.rejection_rate
             / (self.estimates.rejection_rate + PRIORITY_HALF_STRENGTH_AT);
         (density / mean).powf(strength).clamp(MIN_PRIORITY_FACTOR, 1.0)
-            * self.worth_fraction(pending).powf(strength)
+            * self.weight_fraction(pending).powf(strength)
     }
 
     /// Returns the factor by which late answers reduce the headroom at present. The reduction fades with
@@ -400,9 +400,9 @@
         )
     }
 
-    /// Returns what a request of a class earns per unit of service time. A worth that is stated per unit of
-    /// work already is that figure.
-    fn worth_density(&self, class: ClassId) -> f64 {
+    /// Returns the priority weight that a request of a class earns per unit of service time. A priority
+    /// weight that is stated per unit of work already is that figure.
+    fn weight_density(&self, class: ClassId) -> f64 {
         let work = if self.settings.weight_per_work {
             1.0
         } else {
@@ -411,10 +411,10 @@
         self.settings.classes[class.0].priority_weight.max(f64::MIN_POSITIVE) / work
     }
 
-    /// Returns the share of its class's worth that a request is expected to earn. No sidecar can know which
-    /// tenants exceed their quota. The likeliest ones are those whose share of this sidecar's arrivals is
-    /// larger than their share of all quotas.
-    fn worth_fraction(&self, pending: &PendingRequest) -> f64 {
+    /// Returns the share of its class's priority weight that a request is expected to earn. No sidecar can
+    /// know which tenants exceed their quota. The likeliest ones are those whose share of this sidecar's
+    /// arrivals is larger than their share of all quotas.
+    fn weight_fraction(&self, pending: &PendingRequest) -> f64 {
         let quotas: f64 = self.settings.tenants.iter().map(|tenant| tenant.quota_per_s).sum();
         let quota = self.settings.tenants.get(pending.tenant.0).map_or(0.0, |tenant| tenant.quota_per_s);
         let share = self.estimates.tenant_shares.get(pending.tenant.0).copied().unwrap_or(0.0);
@@ -534,8 +534,8 @@
             * (-(self.now - upstream.slowness_updated_at) / ESTIMATE_DECAY_TIME).exp()
     }
 
-    /// Sends a server a load poll if its report is old enough, no load poll is under way and the budget allows
-    /// it.
+    /// Sends a server a load poll if its report is old enough, no load poll is under way and the budget
+    /// allows it.
     fn poll_load(&mut self, id: UpstreamId, actions: &mut Vec<Action>) {
         let may = self.guidance.may_poll_load(id)
             && self.settings.limits.load_polls
@@ -586,7 +586,8 @@
     }
 
     /// Returns the timeout of an attempt: long enough for the attempt, short enough for a retry to meet the
-    /// latency objective. A request that stays at a server after its answer has lost all worth delays others.
+    /// latency objective. A request that stays at a server after its answer no longer earns any priority
+    /// weight delays others.
     fn attempt_timeout(
         &self,
         pending: &PendingRequest,
--- a/crates/sagemast/src/state.rs
+++ b/crates/sagemast/src/state.rs
@@ -181,8 +181,8 @@
     /// Factor on the headroom, below 1 while answers are late. It returns to 1 with time.
     pub headroom_scale: f64,
     pub headroom_updated_at: Millis,
-    /// Running mean of the arrivals' worth per unit of service time.
-    pub mean_worth_density: Option<f64>,
+    /// Running mean of the arrivals' priority weight per unit of service time.
+    pub mean_weight_density: Option<f64>,
     /// Each tenant's share of the arrivals at this sidecar.
     pub tenant_shares: Vec<f64>,
     pub first_report_at: Option<Millis>,
--- a/crates/sagemast/tests/as_before.rs
+++ b/crates/sagemast/tests/as_before.rs
@@ -166,7 +166,7 @@
     ("load_poll_budget", "probes"),
     ("headroom_scale", "room_scale"),
     ("headroom_updated_at", "room_at"),
-    ("mean_worth_density", "usual_density"),
+    ("mean_weight_density", "usual_density"),
     ("first_report_at", "first_at"),
     ("last_explained_at", "explained_at"),
     ("duration", "wait"),
