--- a/crates/sagemast/src/balancer.rs
+++ b/crates/sagemast/src/balancer.rs
@@ -174,9 +174,9 @@
         self.endpoints.advance_time(self.now, &self.settings.slow_start);
         self.slow_start.record_first_event(self.now);
         match event {
-            Event::Arrived { request, class, tenant, time_left, is_retry: repeat } => {
+            Event::Arrived { request, class, tenant, time_left, is_retry } => {
                 let earned =
-                    if repeat { 0.0 } else { LOAD_POLL_SPENDING_SHARE / self.settings.load_poll_cost };
+                    if is_retry { 0.0 } else { LOAD_POLL_SPENDING_SHARE / self.settings.load_poll_cost };
                 self.estimates.load_poll_budget =
                     (self.estimates.load_poll_budget + earned).min(MAX_LOAD_POLL_BUDGET);
                 self.on_arrived(
@@ -200,8 +200,8 @@
                 self.estimates.retry_budget = self.estimates.retry_budget.within(before, self.budgets());
             }
             Event::Reported { upstream, report, age } => self.record_report(upstream, report, age),
-            Event::EjectionProbeEnded { upstream, recovered: well } => {
-                self.on_ejection_probe_result(upstream, well)
+            Event::EjectionProbeEnded { upstream, recovered } => {
+                self.on_ejection_probe_result(upstream, recovered)
             }
             Event::ResidencyChanged(residency) => {
                 self.endpoints.set_zone_sets(&residency.zone_sets);
@@ -677,8 +677,9 @@
             // The hedge goes to another server or is not sent: behind the first attempt it would only wait
             // in the same queue.
             [first] if hedge && first.pending && self.settings.limits.max_attempts > 1 => {
-                let chosen =
-                    self.choose_server(request, &pending, actions).filter(|to| to.id != first.upstream);
+                let chosen = self
+                    .choose_server(request, &pending, actions)
+                    .filter(|server| server.id != first.upstream);
                 if let Some(chosen) = chosen.filter(|_| self.spend_budget(pending.class, Further::Copy)) {
                     self.send(request, chosen, false, actions);
                 }
@@ -888,11 +889,11 @@
 
     /// Applies the result of another sidecar's ejection probe: the server returns to service here as well, or
     /// stays ejected for longer.
-    fn on_ejection_probe_result(&mut self, id: UpstreamId, well: bool) {
+    fn on_ejection_probe_result(&mut self, id: UpstreamId, recovered: bool) {
         let Some(upstream) = self.endpoints.get_mut(id) else { return };
         let Health::Ejected { duration, .. } = upstream.health else { return };
         let extended = Health::Ejected { until: self.now + duration, duration };
-        upstream.health = if well { Health::Ready } else { extended };
+        upstream.health = if recovered { Health::Ready } else { extended };
         self.endpoints.update_pool(id, &self.settings.slow_start);
     }
 
@@ -905,9 +906,9 @@
         if complete {
             self.endpoints.retain_listed(&list);
         }
-        let (home, safety) = (self.settings.zone, &self.settings.slow_start);
-        list.iter().for_each(|entry| self.endpoints.update(entry, home, safety));
-        self.slow_start.drop_sends_before(self.now - safety.overload_window);
+        let (home, rules) = (self.settings.zone, &self.settings.slow_start);
+        list.iter().for_each(|entry| self.endpoints.update(entry, home, rules));
+        self.slow_start.drop_sends_before(self.now - rules.overload_window);
         self.select_subset();
     }
 
@@ -916,8 +917,8 @@
     fn select_subset(&mut self) {
         let sidecars = f64::from(self.settings.sidecars.max(1));
         let subset = |serving: usize| (SIDECARS_PER_SERVER * serving as f64 / sidecars).max(MIN_SUBSET_SIZE);
-        let (home, safety) = (self.settings.zone, &self.settings.slow_start);
-        let serving = self.endpoints.select_subset(|serving| subset(serving) as usize, home, safety);
+        let (home, rules) = (self.settings.zone, &self.settings.slow_start);
+        let serving = self.endpoints.select_subset(|serving| subset(serving) as usize, home, rules);
         self.estimates.sidecars_per_server = sidecars * (subset(serving) / serving as f64).min(1.0);
     }
 }
--- a/crates/sagemast/src/explain.rs
+++ b/crates/sagemast/src/explain.rs
@@ -24,15 +24,12 @@
         self.estimates.last_explained_at = self.now;
         let estimates = &self.estimates;
         let describe = |c: &Candidate| {
-            let Candidate {
-                id,
-                pool,
-                expected_latency: wait,
-                expected_slowdown: crowding,
-                occupancy: used,
-                ..
-            } = c;
-            format!("{} {pool:?} wait={wait:.0} crowding={crowding:.1} used={used:.2}", id.0).to_lowercase()
+            let Candidate { id, pool, expected_latency, expected_slowdown, occupancy, .. } = c;
+            format!(
+                "{} {pool:?} wait={expected_latency:.0} crowding={expected_slowdown:.1} used={occupancy:.2}",
+                id.0
+            )
+            .to_lowercase()
         };
         let drawn = match last.iter().flatten().map(describe).collect::<Vec<_>>() {
             drawn if drawn.is_empty() => "none".to_owned(),
--- a/crates/sagemast/src/serde_helpers.rs
+++ b/crates/sagemast/src/serde_helpers.rs
@@ -7,13 +7,13 @@
     use serde::de::Error;
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-    pub fn serialize<S: Serializer>(rng: &Rand64, to: S) -> Result<S::Ok, S::Error> {
+    pub fn serialize<S: Serializer>(rng: &Rand64, serializer: S) -> Result<S::Ok, S::Error> {
         let (state, increment) = rng.state();
-        [state, increment].map(|part| format!("{part:x}")).serialize(to)
+        [state, increment].map(|part| format!("{part:x}")).serialize(serializer)
     }
 
-    pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Rand64, D::Error> {
-        let [state, increment] = <[String; 2]>::deserialize(from)?;
+    pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Rand64, D::Error> {
+        let [state, increment] = <[String; 2]>::deserialize(deserializer)?;
         let part = |text: &str| u128::from_str_radix(text, 16).map_err(D::Error::custom);
         Ok(Rand64::from_state((part(&state)?, part(&increment)?)))
     }
@@ -27,17 +27,17 @@
 
     pub fn serialize<K: Serialize, V: Serialize, S: Serializer>(
         map: &Option<BTreeMap<K, V>>,
-        to: S,
+        serializer: S,
     ) -> Result<S::Ok, S::Error> {
-        map.as_ref().map(|map| map.iter().collect::<Vec<_>>()).serialize(to)
+        map.as_ref().map(|map| map.iter().collect::<Vec<_>>()).serialize(serializer)
     }
 
-    pub fn deserialize<'de, K, V, D>(from: D) -> Result<Option<BTreeMap<K, V>>, D::Error>
+    pub fn deserialize<'de, K, V, D>(deserializer: D) -> Result<Option<BTreeMap<K, V>>, D::Error>
     where
         K: Deserialize<'de> + Ord,
         V: Deserialize<'de>,
         D: Deserializer<'de>,
     {
-        Ok(Option::<Vec<(K, V)>>::deserialize(from)?.map(|pairs| pairs.into_iter().collect()))
+        Ok(Option::<Vec<(K, V)>>::deserialize(deserializer)?.map(|pairs| pairs.into_iter().collect()))
     }
 }
--- a/crates/sagemast/src/slow_start.rs
+++ b/crates/sagemast/src/slow_start.rs
@@ -171,12 +171,15 @@
     /// Whether a server may be sent one more request as far as slow start is concerned. A server in slow
     /// start needs a lease from the cluster or, where the cluster hands out no leases, a free slot. Any other
     /// server may be sent the request.
-    pub(crate) fn slow_start_admits(&self, to: &Candidate) -> bool {
+    pub(crate) fn slow_start_admits(&self, candidate: &Candidate) -> bool {
         let by_slots = || {
-            to.warm_fraction >= 1.0
-                || self.endpoints.get(to.id).is_some_and(|server| self.has_free_slot(to.id, server))
+            candidate.warm_fraction >= 1.0
+                || self
+                    .endpoints
+                    .get(candidate.id)
+                    .is_some_and(|server| self.has_free_slot(candidate.id, server))
         };
-        self.guidance.lease_allows(to, self.now).unwrap_or_else(by_slots)
+        self.guidance.lease_allows(candidate, self.now).unwrap_or_else(by_slots)
     }
 
     /// Draws a pair of candidates. Each cold server in the pair is replaced by a cold server that has a free
@@ -188,18 +191,18 @@
         zone_set: Option<usize>,
         from: DrawFrom,
         round: usize,
-        held: &PendingRequest,
+        pending: &PendingRequest,
     ) -> Option<[Option<Candidate>; 3]> {
         let ids = self.endpoints.draw_pair(zone_set, from, |n| self.rng.rand_range(0..n))?;
-        let [Some(one), Some(other)] = ids.map(|id| self.evaluate(id, held)) else { return None };
+        let [Some(one), Some(other)] = ids.map(|id| self.evaluate(id, pending)) else { return None };
         let mut drawn = [Some(one), Some(other), None];
         if !matches!(from, DrawFrom::Ready | DrawFrom::Warm) || self.guidance.has_slow_start_leases() {
             return Some(drawn);
         }
         for candidate in &mut drawn {
-            let replaceable = candidate.map_or(round > 0, |to| to.pool == Pool::Cold);
-            if let Some(to) = replaceable.then(|| self.next_cold_candidate(zone_set, held)).flatten() {
-                *candidate = Some(to);
+            let replaceable = candidate.map_or(round > 0, |server| server.pool == Pool::Cold);
+            if let Some(server) = replaceable.then(|| self.next_cold_candidate(zone_set, pending)).flatten() {
+                *candidate = Some(server);
             }
         }
         Some(drawn)
@@ -207,14 +210,18 @@
 
     /// Checks the next cold servers in turn, and returns the first that has a free slot and may be sent the
     /// request.
-    fn next_cold_candidate(&mut self, zone_set: Option<usize>, held: &PendingRequest) -> Option<Candidate> {
+    fn next_cold_candidate(
+        &mut self,
+        zone_set: Option<usize>,
+        pending: &PendingRequest,
+    ) -> Option<Candidate> {
         let cold = self.endpoints.count(zone_set, &[Pool::Cold]);
         for _ in 0..cold.min(MAX_COLD_CHECKS) {
             self.slow_start.next_cold_index = self.slow_start.next_cold_index.wrapping_add(1);
             let id = self.endpoints.cold_endpoint(zone_set, self.slow_start.next_cold_index % cold)?;
             let has_slot = self.endpoints.get(id).is_some_and(|server| self.has_free_slot(id, server));
-            if let Some(to) = has_slot.then(|| self.evaluate(id, held)).flatten() {
-                return Some(to);
+            if let Some(candidate) = has_slot.then(|| self.evaluate(id, pending)).flatten() {
+                return Some(candidate);
             }
         }
         None
@@ -227,13 +234,13 @@
     /// few slots there. Its newest report takes effect at once, so that a queue is noticed as soon as it is
     /// reported. The slots also make this safe where many sidecars read the same report.
     pub(crate) fn others_in_flight(&self, server: &Upstream) -> (f64, f64) {
-        let warmth = server.warm_fraction(self.now, &self.settings.slow_start);
-        if warmth >= 1.0 {
+        let warm_fraction = server.warm_fraction(self.now, &self.settings.slow_start);
+        if warm_fraction >= 1.0 {
             return (self.estimates.others_in_flight, server.others_in_flight);
         }
         let reported = f64::from(server.last_report[0]) - server.outstanding.len() as f64;
         (
-            self.estimates.others_in_flight.min(warmth * self.capacity(server)),
+            self.estimates.others_in_flight.min(warm_fraction * self.capacity(server)),
             server.others_in_flight.max(reported),
         )
     }
@@ -252,16 +259,16 @@
     fn send_quota(&self, server: &Upstream) -> f64 {
         let rules = &self.settings.slow_start;
         let started = server.started_at.unwrap_or(f64::MIN);
-        let warmth = server.warm_fraction((self.now - rules.overload_window).max(started), rules);
+        let warm_fraction = server.warm_fraction((self.now - rules.overload_window).max(started), rules);
         let work = self.slow_start.mean_service_time.max(f64::MIN_POSITIVE);
         let allowed = rules.overload_multiple
-            * warmth
+            * warm_fraction
             * self.assured_capacity(self.capacity(server))
             * rules.overload_window
             / work;
         // If residency rules restrict requests to zone sets, a server can be in other subsets than the
         // unrestricted one, so that any sidecar may share it.
-        let sharers = if self.endpoints.zone_set_count() > 0 {
+        let sidecars = if self.endpoints.zone_set_count() > 0 {
             f64::from(self.settings.sidecars)
         } else {
             self.estimates.sidecars_per_server
@@ -272,7 +279,7 @@
         let (from, initial) =
             if first_event_at > started { (first_event_at, 0.0) } else { (started, INITIAL_SLOT_SHARE) };
         let available = ((self.now - from) / rules.overload_window.max(1.0)).clamp(initial, 1.0);
-        ALLOCATED_SHARE * allowed * available / sharers.max(1.0)
+        ALLOCATED_SHARE * allowed * available / sidecars.max(1.0)
     }
 
     /// The capacity that a server can be relied on to have, given its estimated capacity. An estimate that is
--- a/crates/sagemast/src/state.rs
+++ b/crates/sagemast/src/state.rs
@@ -325,8 +325,8 @@
     }
 
     /// Returns the server's state at `now`, and the time at which the state may change without an event.
-    pub fn pool_at(&self, now: Millis, safety: &SlowStartRules) -> (Pool, Option<Millis>) {
-        let warm_at = self.started_at.map(|started| started + safety.warm_up).filter(|at| now < *at);
+    pub fn pool_at(&self, now: Millis, rules: &SlowStartRules) -> (Pool, Option<Millis>) {
+        let warm_at = self.started_at.map(|started| started + rules.warm_up).filter(|at| now < *at);
         match (self.health, warm_at) {
             (Health::Ejected { until, .. }, _) if now < until => (Pool::Waiting, Some(until)),
             // The server is half-open once its time is up: it gets one ejection probe at a time.
@@ -339,11 +339,11 @@
 
     /// Returns the share of its full capacity that the server has for certain. During slow start it rises
     /// linearly from `initial_share` to 1.
-    pub fn warm_fraction(&self, now: Millis, safety: &SlowStartRules) -> f64 {
+    pub fn warm_fraction(&self, now: Millis, rules: &SlowStartRules) -> f64 {
         match self.started_at {
-            Some(started) if now < started + safety.warm_up => {
+            Some(started) if now < started + rules.warm_up => {
                 let age = (now - started).max(0.0);
-                (safety.initial_share + (1.0 - safety.initial_share) * age / safety.warm_up).max(0.01)
+                (rules.initial_share + (1.0 - rules.initial_share) * age / rules.warm_up).max(0.01)
             }
             _ => 1.0,
         }
