--- a/crates/sagemast/src/balancer.rs
+++ b/crates/sagemast/src/balancer.rs
@@ -148,13 +148,13 @@
     /// Creates a balancer that knows its settings only. `seed` determines its random choices.
     pub fn new(settings: Settings, seed: u64) -> Balancer {
         // Until answers come in, the estimated service time leaves time for a queue and for a retry.
-        let classes = |class: &Class| {
+        let initial_estimate = |class: &Class| {
             ClassEstimate::new(
                 class.latency_objective * INITIAL_SERVICE_TIME_SHARE,
                 Purse::full(class.budgets()),
             )
         };
-        let classes = settings.classes.iter().map(classes).collect();
+        let classes = settings.classes.iter().map(initial_estimate).collect();
         let estimates = Estimates::new(classes, settings.tenants.len(), Purse::full(settings.budgets()));
         Balancer {
             settings,
