--- a/crates/sagemast/tests/any_order.rs
+++ b/crates/sagemast/tests/any_order.rs
@@ -42,7 +42,7 @@
     requests: BTreeMap<RequestId, RequestState>,
     serving: BTreeMap<UpstreamId, bool>,
     /// Servers whose load polls are not answered yet.
-    probes: Vec<UpstreamId>,
+    load_polls: Vec<UpstreamId>,
     /// Timers that are not due yet: time and token.
     timers: Vec<(Millis, u64)>,
     /// Whether other sidecars send guidance, too.
@@ -142,7 +142,7 @@
                     let state = self.requests.get_mut(request).expect("a known request");
                     assert!(!std::mem::replace(&mut state.ended, true), "answered twice");
                 }
-                Action::PollLoad(upstream) => self.probes.push(*upstream),
+                Action::PollLoad(upstream) => self.load_polls.push(*upstream),
                 Action::Cancel { request, attempt } => {
                     assert!(self.requests[request].attempts.len() > attempt.0 as usize);
                 }
@@ -176,27 +176,28 @@
         (self.random_below(5) > 0).then_some(report)
     }
 
-    /// Guidance or news from other sidecars, sensible or absurd.
+    /// Guidance or notifications from other sidecars, sensible or absurd.
     fn random_guidance(&mut self) -> Event {
         let ids = |simulation: &mut Simulation| -> BTreeSet<UpstreamId> {
             (0..simulation.random_below(9)).map(|_| UpstreamId(simulation.random_below(40) as u64)).collect()
         };
         match self.random_below(4) {
             0 => {
-                let rings: Vec<_> = (0..self.random_below(4))
+                let zone_sets: Vec<_> = (0..self.random_below(4))
                     .map(|_| (0..self.random_below(3)).map(|_| ZoneId(self.random_below(3) as u64)).collect())
                     .collect();
-                let ring = |simulation: &mut Simulation| {
+                let random_index = |simulation: &mut Simulation| {
                     (simulation.random_below(2) == 0).then(|| simulation.random_below(4))
                 };
-                let classes = (0..3 + self.random_below(3)).map(|_| ring(self)).collect();
-                let residency = Residency { zone_sets: rings, classes, tenants: vec![None, ring(self)] };
+                let classes = (0..3 + self.random_below(3)).map(|_| random_index(self)).collect();
+                let residency = Residency { zone_sets, classes, tenants: vec![None, random_index(self)] };
                 self.residency = Some(residency.clone());
                 Event::ResidencyChanged(residency)
             }
             1 => {
-                let (upstream, well) = (UpstreamId(self.random_below(40) as u64), self.random_below(2) == 0);
-                Event::EjectionProbeEnded { upstream, recovered: well }
+                let (upstream, recovered) =
+                    (UpstreamId(self.random_below(40) as u64), self.random_below(2) == 0);
+                Event::EjectionProbeEnded { upstream, recovered }
             }
             2 => {
                 let age = [0.0, -5.0, 40.0, 3_000.0, f64::NAN][self.random_below(5)];
@@ -298,7 +299,7 @@
                 }
                 Event::Abandoned(request)
             }
-            _ => match self.probes.pop() {
+            _ => match self.load_polls.pop() {
                 Some(upstream) => {
                     let answered = self.random_below(4) > 0;
                     Event::LoadPolled { upstream, answered, report: self.random_report() }
@@ -427,7 +428,7 @@
         now: start,
         requests: BTreeMap::new(),
         serving: BTreeMap::new(),
-        probes: Vec::new(),
+        load_polls: Vec::new(),
         timers: Vec::new(),
         with_guidance,
         residency: None,
--- a/crates/sagemast/tests/as_before.rs
+++ b/crates/sagemast/tests/as_before.rs
@@ -63,8 +63,8 @@
         let request = RequestId(number);
         let (class, tenant) =
             (ClassId(rng.rand_range(0..5) as usize), TenantId(rng.rand_range(0..2) as usize));
-        let (time_left, repeat) = (150.0 + 400.0 * rng.rand_float(), rng.rand_range(0..9) == 0);
-        events.push_back(Event::Arrived { request, class, tenant, time_left, is_retry: repeat });
+        let (time_left, is_retry) = (150.0 + 400.0 * rng.rand_float(), rng.rand_range(0..9) == 0);
+        events.push_back(Event::Arrived { request, class, tenant, time_left, is_retry });
         if number.is_multiple_of(97) {
             let id = rng.rand_range(0..servers);
             let (serving, just_started) =
--- a/crates/sagemast/tests/checkpoint.rs
+++ b/crates/sagemast/tests/checkpoint.rs
@@ -89,8 +89,8 @@
         retry_after_slice: Some([0.25, 0.5]),
         ..Guidance::default()
     };
-    let rings = vec![[ZoneId(3)].into(), Default::default()];
-    let residency = Residency { zone_sets: rings, classes: vec![Some(0), None], tenants: vec![Some(1)] };
+    let zone_sets = vec![[ZoneId(3)].into(), Default::default()];
+    let residency = Residency { zone_sets, classes: vec![Some(0), None], tenants: vec![Some(1)] };
     for event in [
         Event::Guided(Box::new(guidance)),
         Event::Reported { upstream, report: LoadReport::default(), age: 2.5 },
--- a/crates/sagemast/tests/classes.rs
+++ b/crates/sagemast/tests/classes.rs
@@ -12,15 +12,15 @@
 const HIGH_PRIORITY: ClassId = ClassId(1);
 
 /// Settings of one of 300 sidecars, and the ids of 60 servers. Requests of the first class are not
-/// idempotent; those of the second have an idempotency key. `worths` are the priority weights.
-fn two_classes(worths: [f64; 2]) -> (Settings, Vec<u64>) {
+/// idempotent; those of the second have an idempotency key. `priority_weights` holds the weight of each.
+fn two_classes(priority_weights: [f64; 2]) -> (Settings, Vec<u64>) {
     let mut settings = settings();
     let effects =
         [Idempotency::NotIdempotent, Idempotency::ByKey { scope: DedupScope::All, window: 4_000.0 }];
     settings.classes = effects
         .into_iter()
-        .zip(worths)
-        .map(|(effect, worth)| Class { priority_weight: worth, latency_objective: 600.0, ..class(effect) })
+        .zip(priority_weights)
+        .map(|(effect, priority_weight)| Class { priority_weight, latency_objective: 600.0, ..class(effect) })
         .collect();
     settings.sidecars = 300;
     settings.weights_are_capacities = true;
@@ -99,8 +99,13 @@
 }
 
 /// The same with the settings of `two_classes`.
-fn simulate(worths: [f64; 2], low_percent: u64, in_flight: [f64; 2], service: [Millis; 2]) -> Counts {
-    let (settings, ids) = two_classes(worths);
+fn simulate(
+    priority_weights: [f64; 2],
+    low_percent: u64,
+    in_flight: [f64; 2],
+    service: [Millis; 2],
+) -> Counts {
+    let (settings, ids) = two_classes(priority_weights);
     simulate_with(settings, &ids, low_percent, in_flight, service)
 }
 
@@ -137,8 +142,8 @@
 /// does no harm to other classes.
 #[test]
 fn a_class_without_priority_weight_or_latency_objective_does_no_harm() {
-    for (worth, aim) in [(0.0, 600.0), (-1.0, 600.0), (f64::NAN, 600.0), (10.0, 0.0), (0.0, 0.0)] {
-        let (mut settings, ids) = two_classes([worth, 30.0]);
+    for (priority_weight, aim) in [(0.0, 600.0), (-1.0, 600.0), (f64::NAN, 600.0), (10.0, 0.0), (0.0, 0.0)] {
+        let (mut settings, ids) = two_classes([priority_weight, 30.0]);
         settings.classes[LOW_PRIORITY.0].latency_objective = aim;
         let list = ids.iter().map(|id| Listing { weight: 3.0, ..listing(*id) }).collect();
         let mut harness = Harness::new(settings, list);
@@ -149,7 +154,7 @@
             let (request, actions) = harness.arrive([LOW_PRIORITY, HIGH_PRIORITY][(round % 2) as usize]);
             assert!(
                 sent_to(&actions).is_some() || refused(&actions),
-                "priority weight {worth}, latency objective {aim}: {actions:?}"
+                "priority weight {priority_weight}, latency objective {aim}: {actions:?}"
             );
             if let Some(to) = sent_to(&actions) {
                 high_priority_sent += round % 2;
@@ -158,7 +163,8 @@
         }
         assert!(
             high_priority_sent > 190,
-            "priority weight {worth}, latency objective {aim}: {high_priority_sent} of 200 high-priority sent"
+            "priority weight {priority_weight}, latency objective {aim}: {high_priority_sent} of 200 \
+             high-priority sent"
         );
     }
 }
@@ -214,9 +220,9 @@
             serde_json::from_str(&config_text(counted_by)).expect("settings");
         assert_eq!(config.settings().weight_per_work, by_work, "{counted_by}");
     }
-    let long_to_short_ratio = |worth_by_work: bool| {
+    let long_to_short_ratio = |weight_per_work: bool| {
         let (mut settings, ids) = two_classes([10.0, 10.0]);
-        settings.weight_per_work = worth_by_work;
+        settings.weight_per_work = weight_per_work;
         let counts = simulate_with(settings, &ids, 50, [6.0, 2.0], [160.0, 40.0]);
         let [long, short] = sent_shares(counts);
         long / short
@@ -254,4 +260,4 @@
 /// servers are full or not. Each class has at least a twentieth of the requests, and the share that is
 /// sent of one class is at least half that of the other. Fifteen seconds after the load has fallen all
 /// requests are sent again.
-# [ test ] fn no_class_is_starved_and_all_is_served_again ( low_percent in 5 ..= 95_u64 , worth in - 1.0 .. 1.0_f64 , service in [ 0.95 .. 2.48_f64 , 0.95 .. 2.48_f64 ] , busy in 2.5 .. 15.0_f64 , free in 0.0 .. 2.0_f64 , sidecars in prop :: sample :: select ( vec ! [ 2_u32 , 6 , 60 , 350 ] ) , worth_by_work : bool , ) { let ( mut settings , ids ) = two_classes ( [ 10.0 , 10.0 * 10_f64 . powf ( worth ) ] ) ; ( settings . sidecars , settings . weight_per_work ) = ( sidecars , worth_by_work ) ; let service = service . map ( | power | 10_f64 . powf ( power ) ) ; let mut simulation = Simulation :: new ( settings , & ids ) ; simulation . run ( 600 , low_percent , [ busy , free ] , service ) ; let counts = simulation . run ( 4_000 , low_percent , [ busy , free ] , service ) ; let [ one , other ] = sent_shares ( counts ) ; prop_assert ! ( one . min ( other ) >= 0.5 * one . max ( other ) , "{counts:?}" ) ; simulation . run ( 300 , low_percent , [ 0.5 , 0.5 ] , service ) ; let after = simulation . run ( 200 , low_percent , [ 0.5 , 0.5 ] , service ) ; prop_assert ! ( after . iter ( ) . all ( | ( arrived , sent ) | arrived == sent ) , "afterwards {after:?}" ) ; } }
+# [ test ] fn no_class_is_starved_and_all_is_served_again ( low_percent in 5 ..= 95_u64 , weight_exponent in - 1.0 .. 1.0_f64 , service in [ 0.95 .. 2.48_f64 , 0.95 .. 2.48_f64 ] , busy in 2.5 .. 15.0_f64 , free in 0.0 .. 2.0_f64 , sidecars in prop :: sample :: select ( vec ! [ 2_u32 , 6 , 60 , 350 ] ) , weight_per_work : bool , ) { let ( mut settings , ids ) = two_classes ( [ 10.0 , 10.0 * 10_f64 . powf ( weight_exponent ) ] ) ; ( settings . sidecars , settings . weight_per_work ) = ( sidecars , weight_per_work ) ; let service = service . map ( | power | 10_f64 . powf ( power ) ) ; let mut simulation = Simulation :: new ( settings , & ids ) ; simulation . run ( 600 , low_percent , [ busy , free ] , service ) ; let counts = simulation . run ( 4_000 , low_percent , [ busy , free ] , service ) ; let [ one , other ] = sent_shares ( counts ) ; prop_assert ! ( one . min ( other ) >= 0.5 * one . max ( other ) , "{counts:?}" ) ; simulation . run ( 300 , low_percent , [ 0.5 , 0.5 ] , service ) ; let after = simulation . run ( 200 , low_percent , [ 0.5 , 0.5 ] , service ) ; prop_assert ! ( after . iter ( ) . all ( | ( arrived , sent ) | arrived == sent ) , "afterwards {after:?}" ) ; } }
--- a/crates/sagemast/tests/cold/main.rs
+++ b/crates/sagemast/tests/cold/main.rs
@@ -42,7 +42,7 @@
         zones: 1,
         servers,
         sizes_listed: true,
-        safety: SlowStartRules {
+        rules: SlowStartRules {
             initial_share: 0.3,
             warm_up: 8_000.0,
             overload_multiple: 3.0,
@@ -115,13 +115,13 @@
     (1_u8..=4, 0.8..1.25, prop::bool::weighted(0.4))
 }
 
-fn any_safety() -> impl Strategy<Value = SlowStartRules> {
+fn any_rules() -> impl Strategy<Value = SlowStartRules> {
     (0.1..0.5, 2_000.0..15_000.0, 2.0..4.0, 1_000.0..3_000.0).prop_map(
-        |(cold_share, warm_up, fall_multiple, fall)| SlowStartRules {
-            initial_share: cold_share,
+        |(initial_share, warm_up, overload_multiple, overload_window)| SlowStartRules {
+            initial_share,
             warm_up,
-            overload_multiple: fall_multiple,
-            overload_window: fall,
+            overload_multiple,
+            overload_window,
         },
     )
 }
@@ -130,7 +130,7 @@
     let sizes = (sidecars, prop::collection::vec(any_server(), 3..=200), 1_u64..=3, 1_usize..=6);
     let traffic = (0.3..3.0, 1.0..8.0, 10.0..300.0, prop::option::of(1.4..2.5), 0.0..0.1);
     let other = (any::<u32>(), any::<bool>(), prop::bool::weighted(0.2), prop::option::of(0.1..0.8));
-    (sizes, traffic, other, any_safety()).prop_map(build_random)
+    (sizes, traffic, other, any_rules()).prop_map(build_random)
 }
 
 type Sizes = (u32, Vec<(u8, f64, bool)>, u64, usize);
@@ -138,7 +138,7 @@
 type Other = (u32, bool, bool, Option<f64>);
 
 /// Builds a scenario from random values. The service time is long enough to limit the number of arrivals.
-fn build_random((sizes, traffic, other, safety): (Sizes, Traffic, Other, SlowStartRules)) -> Scenario {
+fn build_random((sizes, traffic, other, rules): (Sizes, Traffic, Other, SlowStartRules)) -> Scenario {
     let (sidecars, sizes, zones, servers_per_cell) = sizes;
     let (load, traffic_skew, min_service_time, burst, error_rate) = traffic;
     let (seed, sizes_listed, all_slow_start, restart) = other;
@@ -150,7 +150,7 @@
         slow_start: *slow_start || all_slow_start,
     };
     let servers: Vec<Server> = sizes.iter().enumerate().map(server).collect();
-    let duration = 2.5 * safety.overload_window;
+    let duration = 2.5 * rules.overload_window;
     let cores: f64 = servers.iter().map(|server| server.cores).sum();
     let service_time =
         f64::max(min_service_time, load * cores * (duration + simulation::SLOW_START_AT) / MAX_ARRIVALS);
@@ -161,12 +161,12 @@
         servers,
         sizes_listed,
         burst: burst.map(|factor| Burst {
-            from: 0.3 * safety.overload_window,
-            to: 1.5 * safety.overload_window,
+            from: 0.3 * rules.overload_window,
+            to: 1.5 * rules.overload_window,
             factor,
         }),
-        restart: restart.map(|share| (0.7 * safety.overload_window, share)),
-        safety,
+        restart: restart.map(|share| (0.7 * rules.overload_window, share)),
+        rules,
         service_time,
         load,
         traffic_skew,
--- a/crates/sagemast/tests/cold/simulation.rs
+++ b/crates/sagemast/tests/cold/simulation.rs
@@ -52,7 +52,7 @@
     pub zones: u64,
     pub servers: Vec<Server>,
     pub sizes_listed: bool,
-    pub safety: SlowStartRules,
+    pub rules: SlowStartRules,
     /// Mean service time of a request on one core.
     pub service_time: Millis,
     /// Rate of arrivals, as a share of what all servers can serve when warm.
@@ -150,7 +150,7 @@
     fn new(scenario: &'s Scenario) -> Simulation<'s> {
         let mut settings = Settings { sidecars: scenario.sidecars, ..common::settings() };
         settings.weights_are_capacities = scenario.sizes_listed;
-        settings.slow_start = scenario.safety.clone();
+        settings.slow_start = scenario.rules.clone();
         settings.limits.load_polls = false;
         settings.classes.iter_mut().for_each(|class| class.latency_objective = 6.0 * scenario.service_time);
         settings.cross_zone_cost = if scenario.zones > 1 { 0.02 } else { 0.0 };
@@ -407,10 +407,10 @@
 
     /// The share of its full capacity that a server has at a time.
     fn capacity_share(&self, server: usize, at: Millis) -> f64 {
-        let SlowStartRules { initial_share: cold_share, warm_up, .. } = self.scenario.safety;
+        let SlowStartRules { initial_share, warm_up, .. } = self.scenario.rules;
         let age = ((at - SLOW_START_AT) / warm_up).clamp(0.0, 1.0);
         if self.has_slow_start(server) && at >= SLOW_START_AT {
-            cold_share + (1.0 - cold_share) * age
+            initial_share + (1.0 - initial_share) * age
         } else {
             1.0
         }
@@ -419,23 +419,24 @@
     /// N in the bound: how many requests of mean work the settings allow the server in a window that begins
     /// at `from`.
     fn allowed_in_window(&self, server: usize, from: Millis) -> f64 {
-        let SlowStartRules { overload_multiple: fall_multiple, overload_window: fall, .. } =
-            self.scenario.safety;
+        let SlowStartRules { overload_multiple, overload_window, .. } = self.scenario.rules;
         let cores = self.scenario.servers[server].cores;
-        fall_multiple * self.capacity_share(server, from) * cores * fall / self.scenario.service_time
+        overload_multiple * self.capacity_share(server, from) * cores * overload_window
+            / self.scenario.service_time
     }
 
     /// Measures what the servers in slow start were sent. A window begins at each request and lasts for
-    /// `fall`.
+    /// `overload_window`.
     fn measure(&self) -> SlowStartLoad {
-        let SlowStartRules { overload_window: fall, warm_up, .. } = self.scenario.safety;
+        let SlowStartRules { overload_window, warm_up, .. } = self.scenario.rules;
         let end = SLOW_START_AT + self.scenario.duration.min(warm_up);
-        let last_window = (end - fall).max(SLOW_START_AT);
+        let last_window = (end - overload_window).max(SLOW_START_AT);
         let (mut fullest_window, mut work_sent, mut work_possible) = (0.0_f64, 0.0, 0.0);
         for (server, sent) in self.sent.iter().enumerate().filter(|(server, _)| self.has_slow_start(*server))
         {
             for (index, (from, _)) in sent.iter().enumerate() {
-                let window = sent[index..].iter().take_while(|(at, _)| *at < (from + fall).min(end));
+                let window =
+                    sent[index..].iter().take_while(|(at, _)| *at < (from + overload_window).min(end));
                 let allowed = self.allowed_in_window(server, *from);
                 fullest_window =
                     fullest_window.max(window.map(|(_, work)| work).sum::<f64>() / window_bound(allowed));
--- a/crates/sagemast/tests/common/mod.rs
+++ b/crates/sagemast/tests/common/mod.rs
@@ -129,15 +129,14 @@
 
     /// A request of this class arrives, with 500 ms left. Returns its id and the resulting actions.
     pub fn arrive(&mut self, class: ClassId) -> (RequestId, Vec<Action>) {
-        self.arrive_with_repeat_flag(class, false)
+        self.arrive_with_retry_flag(class, false)
     }
 
-    /// The same. `repeat` says whether the client marks the request as a retry.
-    pub fn arrive_with_repeat_flag(&mut self, class: ClassId, repeat: bool) -> (RequestId, Vec<Action>) {
+    /// The same. `is_retry` says whether the client marks the request as a retry.
+    pub fn arrive_with_retry_flag(&mut self, class: ClassId, is_retry: bool) -> (RequestId, Vec<Action>) {
         self.last_request += 1;
         let request = RequestId(self.last_request);
-        let event =
-            Event::Arrived { request, class, tenant: TenantId(0), time_left: 500.0, is_retry: repeat };
+        let event = Event::Arrived { request, class, tenant: TenantId(0), time_left: 500.0, is_retry };
         let actions = self.handle(event);
         (request, actions)
     }
--- a/crates/sagemast/tests/deployments.rs
+++ b/crates/sagemast/tests/deployments.rs
@@ -12,11 +12,11 @@
 /// `piggyback` is set. Returns how many requests were served and how many load polls were sent.
 fn serve_requests(settings: Settings, servers: Vec<Listing>, piggyback: bool) -> (usize, usize) {
     let mut harness = Harness::new(settings, servers);
-    let (mut served, mut probes) = (0, 0);
+    let (mut served, mut load_polls) = (0, 0);
     for _ in 0..300 {
         harness.now += 30.0;
         let (request, actions) = harness.arrive(IDEMPOTENT);
-        probes += actions.iter().filter(|action| matches!(action, Action::PollLoad(_))).count();
+        load_polls += actions.iter().filter(|action| matches!(action, Action::PollLoad(_))).count();
         let Some(upstream) = sent_to(&actions) else { continue };
         let report = LoadReport { in_flight: Some(2.0), utilisation: Some(0.5), ..LoadReport::default() };
         harness.handle(Event::Finished(Finished {
@@ -30,7 +30,7 @@
         }));
         served += 1;
     }
-    (served, probes)
+    (served, load_polls)
 }
 
 #[test]
--- a/crates/sagemast/tests/guided.rs
+++ b/crates/sagemast/tests/guided.rs
@@ -33,11 +33,12 @@
     actions.iter().filter_map(rejection).collect()
 }
 
-/// Residency rules: `zones` holds the zones of each ring, and `classes` the ring of each class, by index.
+/// Residency rules: `zones` holds the zones of each zone set, and `classes` the zone set of each class, by
+/// index.
 fn residency_event(zones: &[&[u64]], classes: &[Option<usize>]) -> Event {
-    let ring = |zones: &&[u64]| zones.iter().map(|zone| ZoneId(*zone)).collect();
+    let zone_set = |zones: &&[u64]| zones.iter().map(|zone| ZoneId(*zone)).collect();
     Event::ResidencyChanged(Residency {
-        zone_sets: zones.iter().map(ring).collect(),
+        zone_sets: zones.iter().map(zone_set).collect(),
         classes: classes.to_vec(),
         tenants: Vec::new(),
     })
--- a/crates/sagemast/tests/scale.rs
+++ b/crates/sagemast/tests/scale.rs
@@ -132,14 +132,13 @@
 /// polled many times more often than servers renew their reports, and paid for each poll.
 #[test]
 fn load_polls_are_limited_by_their_cost_per_arrival() {
-    let polls_with_repeats = |fee: f64, repeats: u32| {
+    let polls_with_repeats = |load_poll_cost: f64, repeats: u32| {
         let servers: Vec<_> = (0..200).map(listing).collect();
-        let mut stage = Harness::new(Settings { load_poll_cost: fee, ..settings() }, servers);
+        let mut stage = Harness::new(Settings { load_poll_cost, ..settings() }, servers);
         let mut polls = 0;
         for number in 0..400 * (1 + repeats) {
             stage.now += 20.0 / f64::from(1 + repeats);
-            let (request, actions) =
-                stage.arrive_with_repeat_flag(NON_IDEMPOTENT, number % (1 + repeats) > 0);
+            let (request, actions) = stage.arrive_with_retry_flag(NON_IDEMPOTENT, number % (1 + repeats) > 0);
             polls += actions.iter().filter(|action| matches!(action, Action::PollLoad(_))).count();
             if let Some(upstream) = sent_to(&actions) {
                 stage.finish_attempt(request, 0, upstream, Outcome::Ok, 20.0);
