--- a/crates/concert/src/guidance.rs
+++ b/crates/concert/src/guidance.rs
@@ -7,8 +7,8 @@
 
 use crate::roster::Roster;
 
-/// Guidance in the module's terms. `bases` has, for each class of the module, the platform's class that it is or was made
-/// of; servers that no list has named here are left out.
+/// Guidance in the module's terms. `bases` has, for each class of the module, the platform's class that it is
+/// or was made of; servers that no list has named here are left out.
 pub(crate) fn for_module(told: &fleet::Guidance, bases: &[usize], roster: &Roster) -> Guidance {
     let chance = |base: &usize| told.admit.get(*base).copied().map_or(1.0, share);
     let ids = |keys: &Vec<fleet::ServerKey>| keys.iter().filter_map(|key| roster.id(*key)).collect();
@@ -61,10 +61,11 @@
     }
 }
 
-/// A server as the fleet is told of it. All members may send a cold one `fall_multiple` times what it can do for `fall`
-/// milliseconds, that is so many requests of mean work: its size by how long one takes, by the share of its size that it
-/// surely has by now. [`SLOW_START_LEASE_SHARE`] of that is given out, since sizes and times are estimates; of what sidecars that go by
-/// chance sent, counted, the fullest window had 0.9 of the bound (`docs/incidents/cold-servers-counted.md`).
+/// A server as the fleet is told of it. All members may send a cold one `fall_multiple` times what it can do
+/// for `fall` milliseconds, that is so many requests of mean work: its size by how long one takes, by the
+/// share of its size that it surely has by now. [`SLOW_START_LEASE_SHARE`] of that is given out, since sizes
+/// and times are estimates; of what sidecars that go by chance sent, counted, the fullest window had 0.9 of
+/// the bound (`docs/incidents/cold-servers-counted.md`).
 ///
 /// `work` is how long a mean server takes for the mean request, in milliseconds.
 pub(crate) fn known(
--- a/crates/sagemast/tests/checkpoint.rs
+++ b/crates/sagemast/tests/checkpoint.rs
@@ -76,8 +76,8 @@
     assert!(read(&unknown_class).resume(settings()).is_none(), "the settings have no such class");
 }
 
-/// Guards against captures that cannot be read back. Guidance may have absent parts. A refusal for overload is
-/// stored without a `reason` field, as all refusals were before that field existed.
+/// Guards against captures that cannot be read back. Guidance may have absent parts. A refusal for overload
+/// is stored without a `reason` field, as all refusals were before that field existed.
 #[test]
 fn captured_guidance_and_refusals_are_read_back() {
     let (upstream, request) = (UpstreamId(7), RequestId(1));
