--- a/crates/sagemast/src/balancer.rs
+++ b/crates/sagemast/src/balancer.rs
@@ -19,8 +19,8 @@
 use crate::slow_start::SlowStart;
 use crate::state::*;
 
-/// A drawn server is probed when its load report is older than this. Servers do not refresh their figures
-/// more often, so that an earlier probe would return the same report.
+/// A drawn server is sent a load poll when its load report is older than this. Servers do not refresh their
+/// figures more often, so that an earlier load poll would return the same report.
 const REPORT_REFRESH_AGE: Millis = 300.0;
 /// From this age on a report loses weight over [`ESTIMATE_DECAY_TIME`], and the mean of all servers takes its
 /// place.
@@ -44,12 +44,12 @@
 const CAPACITY_SMOOTHING: f64 = 0.005;
 /// Number of reports that a size given by the server list counts for.
 const LISTED_CAPACITY_REPORTS: f64 = 20.0;
-/// A client's first attempt earns this share of its worth for probes; the platform states the price of a
-/// probe in the same unit. All sidecars probe the same servers, so that the more sidecars there are, the
-/// fewer probes each may send.
-const PROBE_SPENDING_SHARE: f64 = 0.02;
-/// Largest number of probes that can be saved up.
-const MAX_PROBE_BUDGET: f64 = 8.0;
+/// A client's first attempt earns this share of its priority weight for load polls; the platform states the
+/// price of a load poll in the same unit. All sidecars poll the same servers, so that the more sidecars there
+/// are, the fewer load polls each may send.
+const LOAD_POLL_SPENDING_SHARE: f64 = 0.02;
+/// Largest number of load polls that can be saved up.
+const MAX_LOAD_POLL_BUDGET: f64 = 8.0;
 /// Below this reported utilisation, the ratio of in-flight requests to utilisation is mostly rounding error.
 const MIN_REPORTED_UTILISATION: f64 = 0.1;
 /// Weight of a new sample in the slowness and in the failure rate of one server.
@@ -70,12 +70,12 @@
 /// Headroom shrinks while more than this share of the accepted requests is answered late: crowded servers
 /// slow down in ways that the estimates do not predict.
 const LATE_ANSWERS_TARGET: f64 = 0.15;
-/// Exponent that weights a request's relative worth in its admission probability when nearly all requests are
+/// Exponent of a request's relative priority weight in its admission probability when nearly all requests are
 /// rejected.
 const PRIORITY_STRENGTH: f64 = 0.8;
 /// Rejection rate at which the exponent is half of [`PRIORITY_STRENGTH`].
 const PRIORITY_HALF_STRENGTH_AT: f64 = 0.1;
-/// Lower bound for the factor that a class's worth contributes to the admission probability.
+/// Lower bound for the factor that a class's priority weight contributes to the admission probability.
 const MIN_PRIORITY_FACTOR: f64 = 0.7;
 /// A server is sent at most as many requests as it works on at once, and this share of them in addition, to
 /// queue there. Its response time may be longer by the same share. This value applies to a sidecar that does
@@ -148,13 +148,13 @@
     /// Creates a balancer that knows its settings only. `seed` determines its random choices.
     pub fn new(settings: Settings, seed: u64) -> Balancer {
         // Until answers come in, the estimated service time leaves time for a queue and for a retry.
-        let classes = |class: &Class| {
+        let initial_estimate = |class: &Class| {
             ClassEstimate::new(
                 class.latency_objective * INITIAL_SERVICE_TIME_SHARE,
                 Purse::full(class.budgets()),
             )
         };
-        let classes = settings.classes.iter().map(classes).collect();
+        let classes = settings.classes.iter().map(initial_estimate).collect();
         let estimates = Estimates::new(classes, settings.tenants.len(), Purse::full(settings.budgets()));
         Balancer {
             settings,
@@ -174,9 +174,11 @@
         self.endpoints.advance_time(self.now, &self.settings.slow_start);
         self.slow_start.record_first_event(self.now);
         match event {
-            Event::Arrived { request, class, tenant, time_left, is_retry: repeat } => {
-                let earned = if repeat { 0.0 } else { PROBE_SPENDING_SHARE / self.settings.load_poll_cost };
-                self.estimates.probe_budget = (self.estimates.probe_budget + earned).min(MAX_PROBE_BUDGET);
+            Event::Arrived { request, class, tenant, time_left, is_retry } => {
+                let earned =
+                    if is_retry { 0.0 } else { LOAD_POLL_SPENDING_SHARE / self.settings.load_poll_cost };
+                self.estimates.load_poll_budget =
+                    (self.estimates.load_poll_budget + earned).min(MAX_LOAD_POLL_BUDGET);
                 self.on_arrived(
                     request,
                     PendingRequest::new(class, tenant, self.now, time_left.max(0.0)),
@@ -188,7 +190,9 @@
                 self.on_finished(end, actions);
             }
             Event::Abandoned(request) => self.close_request(request, actions),
-            Event::LoadPolled { upstream, answered, report } => self.on_probed(upstream, answered, report),
+            Event::LoadPolled { upstream, answered, report } => {
+                self.on_load_polled(upstream, answered, report)
+            }
             Event::Listed(update) => self.on_list_update(update),
             Event::Guided(guidance) => {
                 let before = self.budgets();
@@ -196,8 +200,8 @@
                 self.estimates.retry_budget = self.estimates.retry_budget.within(before, self.budgets());
             }
             Event::Reported { upstream, report, age } => self.record_report(upstream, report, age),
-            Event::EjectionProbeEnded { upstream, recovered: well } => {
-                self.on_ejection_probe_result(upstream, well)
+            Event::EjectionProbeEnded { upstream, recovered } => {
+                self.on_ejection_probe_result(upstream, recovered)
             }
             Event::ResidencyChanged(residency) => {
                 self.endpoints.set_zone_sets(&residency.zone_sets);
@@ -223,14 +227,14 @@
         for (number, share) in self.estimates.tenant_shares.iter_mut().enumerate() {
             *share += GLOBAL_SMOOTHING * (f64::from(u8::from(number == pending.tenant.0)) - *share);
         }
-        let density = self.worth_density(pending.class);
-        let mean = self.estimates.mean_worth_density.get_or_insert(density);
+        let density = self.weight_density(pending.class);
+        let mean = self.estimates.mean_weight_density.get_or_insert(density);
         *mean += GLOBAL_SMOOTHING * (density - *mean);
         self.slow_start.record_arrival(id, class.latency_objective * INITIAL_SERVICE_TIME_SHARE);
         self.requests.insert(request, pending);
         // The cluster assigns these servers to this sidecar alone, and the other members get their load from
-        // it. They are probed even if no request draws them.
-        self.guidance.next_probe().into_iter().for_each(|id| self.probe(id, actions));
+        // it. They are sent load polls even if no request draws them.
+        self.guidance.next_load_poll().into_iter().for_each(|id| self.poll_load(id, actions));
         match self.guidance.admission_probability(id) {
             Some(probability) if self.rng.rand_float() >= probability => {
                 self.reject_or_fail(request, Reason::Shed, actions)
@@ -249,12 +253,12 @@
             Some(chosen) => self.send(
                 request,
                 chosen,
-                self.endpoints.serving_count(self.guidance.ring(&pending)) > 1,
+                self.endpoints.serving_count(self.guidance.zone_set(&pending)) > 1,
                 actions,
             ),
             None => self.reject_or_fail(
                 request,
-                self.endpoints.refusal_reason(self.guidance.ring(&pending)),
+                self.endpoints.refusal_reason(self.guidance.zone_set(&pending)),
                 actions,
             ),
         }
@@ -268,9 +272,9 @@
         pending: &PendingRequest,
         actions: &mut Vec<Action>,
     ) -> Option<Candidate> {
-        let ring = self.guidance.ring(pending);
-        let eligible = self.eligible_endpoints(ring, pending)?;
-        let untried_left = self.endpoints.count(ring, &[Pool::Warm, Pool::Cold]) > pending.attempts.len();
+        let zone_set = self.guidance.zone_set(pending);
+        let eligible = self.eligible_endpoints(zone_set, pending)?;
+        let untried_left = self.endpoints.count(zone_set, &[Pool::Warm, Pool::Cold]) > pending.attempts.len();
         let (max_slowdown, max_latency) =
             (self.slowdown_limit(), self.headroom_scale() * self.time_to_objective(pending));
         let max_occupancy = self.visibility_factor() * self.headroom_scale();
@@ -301,7 +305,7 @@
                 DrawFrom::Ready if cold_drawn => DrawFrom::Warm,
                 eligible => eligible,
             };
-            let drawn = self.draw_candidates(ring, from, round, pending);
+            let drawn = self.draw_candidates(zone_set, from, round, pending);
             let Some(ids) = drawn.map(|drawn| drawn.map(|s| s.map(|s| s.id))) else { continue };
             last = drawn.unwrap_or_default();
             let mut by_utilisation = last;
@@ -324,22 +328,22 @@
                 }
                 cold_drawn |= server.pool == Pool::Cold;
                 if self.slow_start_admits(&server) {
-                    ids.into_iter().flatten().for_each(|id| self.probe(id, actions));
+                    ids.into_iter().flatten().for_each(|id| self.poll_load(id, actions));
                     return Some(server);
                 }
             }
         }
-        // The last pair is probed even so. Otherwise the servers' estimates could never show free capacity
-        // again.
-        last.iter().flatten().for_each(|server| self.probe(server.id, actions));
+        // The last pair is sent load polls even so. Otherwise the servers' estimates could never show free
+        // capacity again.
+        last.iter().flatten().for_each(|server| self.poll_load(server.id, actions));
         self.log_rejection(request, pending, &last, actions);
         None
     }
 
     /// Returns the servers that a request may go to, given its earlier attempts that may have run.
-    fn eligible_endpoints(&self, ring: Option<usize>, pending: &PendingRequest) -> Option<DrawFrom> {
+    fn eligible_endpoints(&self, zone_set: Option<usize>, pending: &PendingRequest) -> Option<DrawFrom> {
         // If all servers are ejected, any of them is better than none.
-        let healthy = self.endpoints.count(ring, &[Pool::Warm, Pool::Cold]) > 0;
+        let healthy = self.endpoints.count(zone_set, &[Pool::Warm, Pool::Cold]) > 0;
         let any = Some(if healthy { DrawFrom::Ready } else { DrawFrom::AllServing });
         let Some(first) = pending.attempts.iter().find(|a| a.pending || a.may_have_run) else { return any };
         match self.settings.classes[pending.class.0].idempotency {
@@ -378,12 +382,12 @@
     /// a probability and not a tighter limit: where sidecars know little more than the mean of all servers,
     /// a limit admits either all requests of a class or none.
     fn admission_probability(&self, pending: &PendingRequest) -> f64 {
-        let density = self.worth_density(pending.class);
-        let mean = self.estimates.mean_worth_density.unwrap_or(density);
+        let density = self.weight_density(pending.class);
+        let mean = self.estimates.mean_weight_density.unwrap_or(density);
         let strength = PRIORITY_STRENGTH * self.estimates.rejection_rate
             / (self.estimates.rejection_rate + PRIORITY_HALF_STRENGTH_AT);
         (density / mean).powf(strength).clamp(MIN_PRIORITY_FACTOR, 1.0)
-            * self.worth_fraction(pending).powf(strength)
+            * self.weight_fraction(pending).powf(strength)
     }
 
     /// Returns the factor by which late answers reduce the headroom at present. The reduction fades with
@@ -396,9 +400,9 @@
         )
     }
 
-    /// Returns what a request of a class earns per unit of service time. A worth that is stated per unit of
-    /// work already is that figure.
-    fn worth_density(&self, class: ClassId) -> f64 {
+    /// Returns the priority weight that a request of a class earns per unit of service time. A priority
+    /// weight that is stated per unit of work already is that figure.
+    fn weight_density(&self, class: ClassId) -> f64 {
         let work = if self.settings.weight_per_work {
             1.0
         } else {
@@ -407,10 +411,10 @@
         self.settings.classes[class.0].priority_weight.max(f64::MIN_POSITIVE) / work
     }
 
-    /// Returns the share of its class's worth that a request is expected to earn. No sidecar can know which
-    /// tenants exceed their quota. The likeliest ones are those whose share of this sidecar's arrivals is
-    /// larger than their share of all quotas.
-    fn worth_fraction(&self, pending: &PendingRequest) -> f64 {
+    /// Returns the share of its class's priority weight that a request is expected to earn. No sidecar can
+    /// know which tenants exceed their quota. The likeliest ones are those whose share of this sidecar's
+    /// arrivals is larger than their share of all quotas.
+    fn weight_fraction(&self, pending: &PendingRequest) -> f64 {
         let quotas: f64 = self.settings.tenants.iter().map(|tenant| tenant.quota_per_s).sum();
         let quota = self.settings.tenants.get(pending.tenant.0).map_or(0.0, |tenant| tenant.quota_per_s);
         let share = self.estimates.tenant_shares.get(pending.tenant.0).copied().unwrap_or(0.0);
@@ -530,16 +534,17 @@
             * (-(self.now - upstream.slowness_updated_at) / ESTIMATE_DECAY_TIME).exp()
     }
 
-    /// Probes a server's load if its report is old enough, no probe is under way and the budget allows it.
-    fn probe(&mut self, id: UpstreamId, actions: &mut Vec<Action>) {
-        let may = self.guidance.may_probe(id)
+    /// Sends a server a load poll if its report is old enough, no load poll is under way and the budget
+    /// allows it.
+    fn poll_load(&mut self, id: UpstreamId, actions: &mut Vec<Action>) {
+        let may = self.guidance.may_poll_load(id)
             && self.settings.limits.load_polls
-            && self.estimates.probe_budget >= 1.0;
+            && self.estimates.load_poll_budget >= 1.0;
         let Some(server) = self.endpoints.get_mut(id).filter(|server| may && server.serving) else { return };
-        let waiting = server.probe_sent_at.is_some_and(|sent_at| self.now - sent_at < REPORT_STALE_AGE);
+        let waiting = server.load_poll_sent_at.is_some_and(|sent_at| self.now - sent_at < REPORT_STALE_AGE);
         if !waiting && self.now - server.reported_at > REPORT_REFRESH_AGE {
-            server.probe_sent_at = Some(self.now);
-            self.estimates.probe_budget -= 1.0;
+            server.load_poll_sent_at = Some(self.now);
+            self.estimates.load_poll_budget -= 1.0;
             actions.push(Action::PollLoad(id));
         }
     }
@@ -581,7 +586,8 @@
     }
 
     /// Returns the timeout of an attempt: long enough for the attempt, short enough for a retry to meet the
-    /// latency objective. A request that stays at a server after its answer has lost all worth delays others.
+    /// latency objective. A request that stays at a server after its answer no longer earns any priority
+    /// weight delays others.
     fn attempt_timeout(
         &self,
         pending: &PendingRequest,
@@ -671,8 +677,9 @@
             // The hedge goes to another server or is not sent: behind the first attempt it would only wait
             // in the same queue.
             [first] if hedge && first.pending && self.settings.limits.max_attempts > 1 => {
-                let chosen =
-                    self.choose_server(request, &pending, actions).filter(|to| to.id != first.upstream);
+                let chosen = self
+                    .choose_server(request, &pending, actions)
+                    .filter(|server| server.id != first.upstream);
                 if let Some(chosen) = chosen.filter(|_| self.spend_budget(pending.class, Further::Copy)) {
                     self.send(request, chosen, false, actions);
                 }
@@ -791,9 +798,9 @@
         }
     }
 
-    fn on_probed(&mut self, id: UpstreamId, answered: bool, report: Option<LoadReport>) {
+    fn on_load_polled(&mut self, id: UpstreamId, answered: bool, report: Option<LoadReport>) {
         let Some(upstream) = self.endpoints.get_mut(id) else { return };
-        upstream.probe_sent_at = None;
+        upstream.load_poll_sent_at = None;
         if let (Some(report), true) = (report, answered) {
             self.record_report(id, report, 0.0);
         }
@@ -823,8 +830,8 @@
         server.others_in_flight +=
             (1.0 - (-since / OTHERS_AVERAGING_TIME).exp()) * (others - server.others_in_flight);
         server.reported_at = at;
-        // The mean of all servers moves by elapsed time. If many sidecars share the probes, reports arrive
-        // too rarely here for an average by their count.
+        // The mean of all servers moves by elapsed time. If many sidecars share the load polls, reports
+        // arrive too rarely here for an average by their count.
         let elapsed = self.now - std::mem::replace(&mut self.estimates.others_updated_at, self.now);
         let step = GLOBAL_SMOOTHING.max(1.0 - (-elapsed / OTHERS_AVERAGING_TIME).exp());
         self.estimates.others_in_flight += step * (server.others_in_flight - self.estimates.others_in_flight);
@@ -882,11 +889,11 @@
 
     /// Applies the result of another sidecar's ejection probe: the server returns to service here as well, or
     /// stays ejected for longer.
-    fn on_ejection_probe_result(&mut self, id: UpstreamId, well: bool) {
+    fn on_ejection_probe_result(&mut self, id: UpstreamId, recovered: bool) {
         let Some(upstream) = self.endpoints.get_mut(id) else { return };
         let Health::Ejected { duration, .. } = upstream.health else { return };
         let extended = Health::Ejected { until: self.now + duration, duration };
-        upstream.health = if well { Health::Ready } else { extended };
+        upstream.health = if recovered { Health::Ready } else { extended };
         self.endpoints.update_pool(id, &self.settings.slow_start);
     }
 
@@ -899,9 +906,9 @@
         if complete {
             self.endpoints.retain_listed(&list);
         }
-        let (home, safety) = (self.settings.zone, &self.settings.slow_start);
-        list.iter().for_each(|entry| self.endpoints.update(entry, home, safety));
-        self.slow_start.drop_sends_before(self.now - safety.overload_window);
+        let (home, rules) = (self.settings.zone, &self.settings.slow_start);
+        list.iter().for_each(|entry| self.endpoints.update(entry, home, rules));
+        self.slow_start.drop_sends_before(self.now - rules.overload_window);
         self.select_subset();
     }
 
@@ -910,8 +917,8 @@
     fn select_subset(&mut self) {
         let sidecars = f64::from(self.settings.sidecars.max(1));
         let subset = |serving: usize| (SIDECARS_PER_SERVER * serving as f64 / sidecars).max(MIN_SUBSET_SIZE);
-        let (home, safety) = (self.settings.zone, &self.settings.slow_start);
-        let serving = self.endpoints.select_subset(|serving| subset(serving) as usize, home, safety);
+        let (home, rules) = (self.settings.zone, &self.settings.slow_start);
+        let serving = self.endpoints.select_subset(|serving| subset(serving) as usize, home, rules);
         self.estimates.sidecars_per_server = sidecars * (subset(serving) / serving as f64).min(1.0);
     }
 }
--- a/crates/sagemast/src/cluster_guidance.rs
+++ b/crates/sagemast/src/cluster_guidance.rs
@@ -15,8 +15,8 @@
 #[derive(Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct ClusterGuidance {
     current: Guidance,
-    /// The assigned server that was probed last.
-    last_probed: Option<UpstreamId>,
+    /// The assigned server that was sent a load poll last.
+    last_polled: Option<UpstreamId>,
     /// The zones that requests may go to. Without it, they may go anywhere.
     pub residency: Option<Residency>,
 }
@@ -48,17 +48,17 @@
         self.current.admit_probability.get(class.0).copied()
     }
 
-    /// Returns whether this sidecar may probe a server's load.
-    pub fn may_probe(&self, id: UpstreamId) -> bool {
+    /// Returns whether this sidecar may send a server load polls.
+    pub fn may_poll_load(&self, id: UpstreamId) -> bool {
         self.current.load_poll_targets.as_ref().is_none_or(|assigned| assigned.contains(&id))
     }
 
-    /// Returns the next of the servers that the cluster assigns to this sidecar for load probes, in turn.
-    pub fn next_probe(&mut self) -> Option<UpstreamId> {
+    /// Returns the next of the servers that the cluster assigns to this sidecar for load polls, in turn.
+    pub fn next_load_poll(&mut self) -> Option<UpstreamId> {
         let assigned = self.current.load_poll_targets.as_ref()?;
-        let after = self.last_probed.map_or(Bound::Unbounded, Bound::Excluded);
-        self.last_probed = assigned.range((after, Bound::Unbounded)).next().or(assigned.first()).copied();
-        self.last_probed
+        let after = self.last_polled.map_or(Bound::Unbounded, Bound::Excluded);
+        self.last_polled = assigned.range((after, Bound::Unbounded)).next().or(assigned.first()).copied();
+        self.last_polled
     }
 
     /// Returns whether this sidecar may send an ejection probe to a server whose ejection time is over.
@@ -94,9 +94,9 @@
             .map_or(fraction, |[from, to]| (from + (to - from) * fraction).clamp(0.0, 1.0))
     }
 
-    /// Returns the index of the ring of zones that a request's servers are drawn from, if it has one.
-    pub fn ring(&self, pending: &PendingRequest) -> Option<usize> {
-        self.residency.as_ref()?.ring(pending.class, pending.tenant)
+    /// Returns the index of the zone set that a request's servers are drawn from, if it has one.
+    pub fn zone_set(&self, pending: &PendingRequest) -> Option<usize> {
+        self.residency.as_ref()?.zone_set(pending.class, pending.tenant)
     }
 
     /// Returns whether a request may go to a zone.
@@ -106,30 +106,30 @@
 }
 
 impl Residency {
-    /// Returns the index of a class's ring. A class without an entry gets the index of a ring that does not
-    /// exist and may go nowhere: its rules are not known yet.
-    fn ring_of_class(&self, class: ClassId) -> Option<usize> {
+    /// Returns the index of a class's zone set. A class without an entry gets the index of a zone set that
+    /// does not exist and may go nowhere: its rules are not known yet.
+    fn zone_set_of_class(&self, class: ClassId) -> Option<usize> {
         self.classes.get(class.0).copied().unwrap_or(Some(usize::MAX))
     }
 
-    /// Returns the index of a tenant's ring. A tenant without an entry may go anywhere.
-    fn ring_of_tenant(&self, tenant: TenantId) -> Option<usize> {
+    /// Returns the index of a tenant's zone set. A tenant without an entry may go anywhere.
+    fn zone_set_of_tenant(&self, tenant: TenantId) -> Option<usize> {
         self.tenants.get(tenant.0).copied().flatten()
     }
 
-    /// Returns the index of the ring that a request's servers are drawn from. The class's ring takes
+    /// Returns the index of the zone set that a request's servers are drawn from. The class's zone set takes
     /// precedence.
-    fn ring(&self, class: ClassId, tenant: TenantId) -> Option<usize> {
-        self.ring_of_class(class).or(self.ring_of_tenant(tenant))
+    fn zone_set(&self, class: ClassId, tenant: TenantId) -> Option<usize> {
+        self.zone_set_of_class(class).or(self.zone_set_of_tenant(tenant))
     }
 
-    /// Returns whether a request may go to a zone. Both the ring of its class and that of its tenant must
+    /// Returns whether a request may go to a zone. Both the zone set of its class and that of its tenant must
     /// allow the zone.
     pub fn allows(&self, class: ClassId, tenant: TenantId, zone: ZoneId) -> bool {
-        let rings = [self.ring_of_class(class), self.ring_of_tenant(tenant)];
-        rings
+        let zone_sets = [self.zone_set_of_class(class), self.zone_set_of_tenant(tenant)];
+        zone_sets
             .into_iter()
             .flatten()
-            .all(|ring| self.zone_sets.get(ring).is_some_and(|zones| zones.contains(&zone)))
+            .all(|index| self.zone_sets.get(index).is_some_and(|zones| zones.contains(&zone)))
     }
 }
--- a/crates/sagemast/src/explain.rs
+++ b/crates/sagemast/src/explain.rs
@@ -24,22 +24,19 @@
         self.estimates.last_explained_at = self.now;
         let estimates = &self.estimates;
         let describe = |c: &Candidate| {
-            let Candidate {
-                id,
-                pool,
-                expected_latency: wait,
-                expected_slowdown: crowding,
-                occupancy: used,
-                ..
-            } = c;
-            format!("{} {pool:?} wait={wait:.0} crowding={crowding:.1} used={used:.2}", id.0).to_lowercase()
+            let Candidate { id, pool, expected_latency, expected_slowdown, occupancy, .. } = c;
+            format!(
+                "{} {pool:?} wait={expected_latency:.0} crowding={expected_slowdown:.1} used={occupancy:.2}",
+                id.0
+            )
+            .to_lowercase()
         };
         let drawn = match last.iter().flatten().map(describe).collect::<Vec<_>>() {
             drawn if drawn.is_empty() => "none".to_owned(),
             drawn => format!("[{}]", drawn.join(", ")),
         };
-        let ring = self.guidance.ring(pending);
-        let [warm, cold, trial, waiting] = Pool::ALL.map(|pool| self.endpoints.count(ring, &[pool]));
+        let zone_set = self.guidance.zone_set(pending);
+        let [warm, cold, trial, waiting] = Pool::ALL.map(|pool| self.endpoints.count(zone_set, &[pool]));
         let text = format!(
             "request {} of class {} has no place: aim_left={:.0} room={:.2} tries={} warm={warm} cold={cold} \
              trial={trial} ejected={waiting} drawn={drawn}; service={:.0} room_scale={:.2} refused={:.2} \
@@ -56,7 +53,8 @@
             estimates.all_servers.capacity_per_weight(),
             estimates.others_in_flight,
         );
-        let text = ring.map_or(text.clone(), |ring| format!("{text}; may only go to ring {ring}"));
+        let text =
+            zone_set.map_or(text.clone(), |zone_set| format!("{text}; may only go to ring {zone_set}"));
         actions.push(Action::Log { about: Some(request), text });
     }
 }
--- a/crates/sagemast/src/state.rs
+++ b/crates/sagemast/src/state.rs
@@ -174,15 +174,15 @@
     pub sidecars_per_server: f64,
     /// Running share of the requests for which no server had headroom.
     pub rejection_rate: f64,
-    /// Number of probes that arrivals have earned and that are not spent yet.
-    pub probe_budget: f64,
+    /// Number of load polls that arrivals have earned and that are not spent yet.
+    pub load_poll_budget: f64,
     /// Remaining retries and hedged requests of all classes together.
     pub retry_budget: Purse,
     /// Factor on the headroom, below 1 while answers are late. It returns to 1 with time.
     pub headroom_scale: f64,
     pub headroom_updated_at: Millis,
-    /// Running mean of the arrivals' worth per unit of service time.
-    pub mean_worth_density: Option<f64>,
+    /// Running mean of the arrivals' priority weight per unit of service time.
+    pub mean_weight_density: Option<f64>,
     /// Each tenant's share of the arrivals at this sidecar.
     pub tenant_shares: Vec<f64>,
     pub first_report_at: Option<Millis>,
@@ -238,8 +238,8 @@
     pub reported_at: Millis,
     /// The figures of the newest report. They show whether the next report repeats it.
     pub last_report: [f32; 3],
-    /// When a probe was sent that has not been answered yet.
-    pub probe_sent_at: Option<Millis>,
+    /// When a load poll was sent that has not been answered yet.
+    pub load_poll_sent_at: Option<Millis>,
     /// Attempts that the server has not answered, oldest first.
     pub outstanding: Vec<OutstandingAttempt>,
     /// Service time relative to the mean of all servers.
@@ -296,7 +296,7 @@
             others_in_flight: 0.0,
             reported_at: NEVER,
             last_report: [-1.0; 3],
-            probe_sent_at: None,
+            load_poll_sent_at: None,
             outstanding: Vec::new(),
             slowness: 1.0,
             slowness_updated_at: NEVER,
@@ -325,8 +325,8 @@
     }
 
     /// Returns the server's state at `now`, and the time at which the state may change without an event.
-    pub fn pool_at(&self, now: Millis, safety: &SlowStartRules) -> (Pool, Option<Millis>) {
-        let warm_at = self.started_at.map(|started| started + safety.warm_up).filter(|at| now < *at);
+    pub fn pool_at(&self, now: Millis, rules: &SlowStartRules) -> (Pool, Option<Millis>) {
+        let warm_at = self.started_at.map(|started| started + rules.warm_up).filter(|at| now < *at);
         match (self.health, warm_at) {
             (Health::Ejected { until, .. }, _) if now < until => (Pool::Waiting, Some(until)),
             // The server is half-open once its time is up: it gets one ejection probe at a time.
@@ -339,11 +339,11 @@
 
     /// Returns the share of its full capacity that the server has for certain. During slow start it rises
     /// linearly from `initial_share` to 1.
-    pub fn warm_fraction(&self, now: Millis, safety: &SlowStartRules) -> f64 {
+    pub fn warm_fraction(&self, now: Millis, rules: &SlowStartRules) -> f64 {
         match self.started_at {
-            Some(started) if now < started + safety.warm_up => {
+            Some(started) if now < started + rules.warm_up => {
                 let age = (now - started).max(0.0);
-                (safety.initial_share + (1.0 - safety.initial_share) * age / safety.warm_up).max(0.01)
+                (rules.initial_share + (1.0 - rules.initial_share) * age / rules.warm_up).max(0.01)
             }
             _ => 1.0,
         }
--- a/crates/sagemast/tests/as_before.rs
+++ b/crates/sagemast/tests/as_before.rs
@@ -63,8 +63,8 @@
         let request = RequestId(number);
         let (class, tenant) =
             (ClassId(rng.rand_range(0..5) as usize), TenantId(rng.rand_range(0..2) as usize));
-        let (time_left, repeat) = (150.0 + 400.0 * rng.rand_float(), rng.rand_range(0..9) == 0);
-        events.push_back(Event::Arrived { request, class, tenant, time_left, is_retry: repeat });
+        let (time_left, is_retry) = (150.0 + 400.0 * rng.rand_float(), rng.rand_range(0..9) == 0);
+        events.push_back(Event::Arrived { request, class, tenant, time_left, is_retry });
         if number.is_multiple_of(97) {
             let id = rng.rand_range(0..servers);
             let (serving, just_started) =
@@ -163,16 +163,16 @@
     ("others_updated_at", "others_at"),
     ("sidecars_per_server", "sharers"),
     ("rejection_rate", "refused"),
-    ("probe_budget", "probes"),
+    ("load_poll_budget", "probes"),
     ("headroom_scale", "room_scale"),
     ("headroom_updated_at", "room_at"),
-    ("mean_worth_density", "usual_density"),
+    ("mean_weight_density", "usual_density"),
     ("first_report_at", "first_at"),
     ("last_explained_at", "explained_at"),
     ("duration", "wait"),
     ("placement", "pooled"),
     ("started_at", "started"),
-    ("probe_sent_at", "probe_sent"),
+    ("load_poll_sent_at", "probe_sent"),
     ("slowness_updated_at", "learnt_at"),
     ("last_answer_at", "answered_at"),
     ("failure_rate_ppm", "failures"),
