--- a/crates/peers/src/coordinator/directives.rs
+++ b/crates/peers/src/coordinator/directives.rs
@@ -5,7 +5,7 @@
 use super::evidence::severity;
 use super::term::{Directive, MAX_DIRECTIVES, MAX_INHERITED, Term};
 use crate::api::{Millis, ServerKey, ServerState};
-use crate::lists::ENTRIES;
+use crate::lists::MAX_ENTRIES;
 
 /// The last directive that a coordinator issued about a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -130,7 +130,7 @@
                 ServerState::Serving => {
                     self.withdrawn.remove(&directive.server);
                 }
-                standing if self.withdrawn.len() < ENTRIES => {
+                standing if self.withdrawn.len() < MAX_ENTRIES => {
                     self.withdrawn.insert(directive.server, standing);
                 }
                 _ => {}
--- a/crates/peers/src/coordinator/follower.rs
+++ b/crates/peers/src/coordinator/follower.rs
@@ -47,7 +47,7 @@
         if !self.accept_term(now, term, actions) {
             return;
         }
-        self.lists.holds(term.candidate, list);
+        self.lists.record_rank(term.candidate, list);
         let duration = u64::from(duration);
         let may_promise =
             !self.quarantined(now) && duration <= self.params.lease && !self.promised_to_other(now, &term);
@@ -106,7 +106,7 @@
         }
         self.discovery_reach.insert(member, (reach, now));
         if member == self.params.me {
-            self.lists.reach(reach == Reachability::Up);
+            self.lists.set_discovery_reachable(reach == Reachability::Up);
             match reach {
                 Reachability::Up if self.leadership.is_none() => self.applied.clear(),
                 Reachability::Up => {}
@@ -139,7 +139,7 @@
         let mut withdrawals = BTreeMap::new();
         if self.own_reach() != Some(Reachability::Up) {
             for (server, directive) in self.applied.withdrawals() {
-                let listed = self.lists.standing(server);
+                let listed = self.lists.server_state(server);
                 if let Some(standing) =
                     listed.and_then(|listed| directives::effective_withdrawal(listed, directive))
                 {
--- a/crates/peers/src/coordinator/leadership.rs
+++ b/crates/peers/src/coordinator/leadership.rs
@@ -264,7 +264,7 @@
     pub(super) fn evaluate(&mut self, now: Millis, server: ServerKey) {
         let Some(leadership) = &self.leadership else { return };
         let issued = leadership.directives.latest(server);
-        let serving_in_list = self.lists.standing(server) == Some(ServerState::Serving);
+        let serving_in_list = self.lists.server_state(server) == Some(ServerState::Serving);
         let withdrawn =
             issued.map(|issued| issued.standing).filter(|standing| *standing != ServerState::Serving);
         if let Some((standing, issued)) = withdrawn.zip(issued) {
@@ -278,7 +278,7 @@
             return;
         }
         // At least half of the servers that the list shows as serving stay in service, whatever the evidence.
-        let within_limit = (leadership.directives.withdrawn().count() + 1) * 2 <= self.lists.serving();
+        let within_limit = (leadership.directives.withdrawn().count() + 1) * 2 <= self.lists.serving_count();
         match self.evidence.withdrawal(server, true) {
             // If two members report the server as unavailable and two others as serving, the list prevails.
             Some(standing) if serving_in_list && within_limit && !self.evidence.seen_serving(server) => {
--- a/crates/peers/src/coordinator/mod.rs
+++ b/crates/peers/src/coordinator/mod.rs
@@ -60,7 +60,7 @@
 pub use term::{Directive, MAX_DIRECTIVES, MAX_INHERITED, Message, Term};
 
 use crate::api::{Config, MemberId, Millis, PollingRate, Reachability, ServerKey, ServerState};
-use crate::lists::{Changed, Lists, Pace};
+use crate::lists::{ChangedServers, ListConfig, ListReplica};
 use directives::AppliedDirectives;
 use election::{Candidacy, Promise};
 use evidence::Evidence;
@@ -141,7 +141,7 @@
     polling: PollingRate,
     next_wake: Option<Millis>,
     stale_rejected: Counter,
-    lists: Lists,
+    lists: ListReplica,
 }
 
 /// A counter for operators that influences no decision. All values compare as equal, so that states that
@@ -197,11 +197,11 @@
             quarantine_until: now.saturating_add(longest_promise).saturating_add(timing.election),
             drift_ppm,
         };
-        let pace = Pace {
+        let list_config = ListConfig {
             me,
             members: u16::try_from(config.members.len()).unwrap_or(u16::MAX),
-            period: timing.period.max(1),
-            round: timing.outage.max(1),
+            retry_interval: timing.period.max(1),
+            query_interval: timing.outage.max(1),
             seed,
         };
         Coordinator {
@@ -224,14 +224,14 @@
             polling: PollingRate::Normal,
             next_wake: None,
             stale_rejected: Counter(0),
-            lists: Lists::new(pace, now),
+            lists: ListReplica::new(list_config, now),
         }
     }
 
     /// Processes an input at time `now` of this member's clock, and appends the resulting actions.
     pub fn handle(&mut self, now: Millis, input: Input, actions: &mut Vec<Output>) {
         self.drop_expired_lease(now, actions);
-        let mut changed = Changed::new();
+        let mut changed = ChangedServers::new();
         match input {
             // A caller that keeps only one timer has none left now, so the next one must be requested again.
             Input::Woke => self.next_wake = None,
@@ -244,12 +244,12 @@
                     self.dead_members.remove(&member);
                 } else if member != self.params.me {
                     self.dead_members.insert(member);
-                    self.lists.gone(member);
+                    self.lists.remove_member(member);
                 }
             }
             Input::ListUpdate { version, complete, entries } => {
                 self.set_reach(now, self.params.me, Reachability::Up);
-                self.lists.listed(version, complete, &entries, &mut changed, actions);
+                self.lists.apply_discovery_list(version, complete, &entries, &mut changed, actions);
                 for server in changed.drain(..) {
                     self.evidence.forget(server);
                 }
@@ -260,7 +260,7 @@
                     self.evaluate(now, server);
                 }
             }
-            Input::ListFact { member, body } => self.lists.fact(member, &body),
+            Input::ListFact { member, body } => self.lists.apply_fact(member, &body),
         }
         for server in &changed {
             self.on_entry_updated(now, *server);
@@ -312,7 +312,7 @@
     }
 
     /// This member's copy of discovery's server list.
-    pub fn lists(&self) -> &Lists {
+    pub fn lists(&self) -> &ListReplica {
         &self.lists
     }
 
@@ -322,14 +322,14 @@
         from: MemberId,
         incarnation: u64,
         message: Message,
-        changed: &mut Changed,
+        changed: &mut ChangedServers,
         actions: &mut Vec<Output>,
     ) {
         if from == self.params.me {
             return;
         }
         if let Message::List(message) = message {
-            self.lists.message(now, from, message, changed, actions);
+            self.lists.handle_message(now, from, message, changed, actions);
             return;
         }
         if !self.params.region_members.contains(&from) {
@@ -408,7 +408,7 @@
             self.resignation.as_ref().map(|resignation| resignation.resend_at),
             self.following.map(|(_, until)| until),
             withdrawals_expire,
-            self.lists.next(),
+            self.lists.next_tick(),
         ];
         let Some(next) = times.into_iter().flatten().min().map(|at| at.max(now + 1)) else { return };
         if self.next_wake.is_none_or(|wake| wake <= now || next < wake) {
--- a/crates/peers/src/lists.rs
+++ b/crates/peers/src/lists.rs
@@ -18,7 +18,7 @@
 //!
 //! **Whom to trust.** What a member's own discovery says always wins at that member, and one whose discovery
 //! answers takes nothing from others. Configured members are trusted to pass on what discovery told them: one that
-//! lies can name servers to those without discovery, [`ENTRIES`] at most, until their own discovery is back. Nobody
+//! lies can name servers to those without discovery, [`MAX_ENTRIES`] at most, until their own discovery is back. Nobody
 //! else can: datagrams come from configured addresses only, and what does not follow in order or does not decode is
 //! refused and counted.
 
@@ -26,7 +26,7 @@
 mod store;
 
 pub use pull::{Message, Told};
-pub use store::{BODY, ENTRIES};
+pub use store::{BODY, MAX_ENTRIES};
 
 use std::collections::BTreeMap;
 
@@ -52,29 +52,29 @@
 
 /// Times that lists go by, in milliseconds, and who is there.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub(crate) struct Pace {
+pub(crate) struct ListConfig {
     pub me: MemberId,
     /// How many members are configured, this one included.
     pub members: u16,
     /// What is not answered in this time is asked again.
-    pub period: Millis,
+    pub retry_interval: Millis,
     /// How often a member without discovery asks another, at random, whether it has a newer list.
-    pub round: Millis,
+    pub query_interval: Millis,
     pub seed: u64,
 }
 
-impl Pace {
+impl ListConfig {
     /// How long a member waits between two facts about its list, so that the whole fleet changes 50 of them a
     /// second at most.
     fn spacing(&self) -> Millis {
-        self.round.max(20 * u64::from(self.members))
+        self.query_interval.max(20 * u64::from(self.members))
     }
 }
 
 /// The list that a member holds, and what it does to hold the newest.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Lists {
-    pace: Pace,
+pub struct ListReplica {
+    pace: ListConfig,
     rank: Rank,
     store: Store,
     /// The newest version that this member's own discovery told in this epoch.
@@ -99,12 +99,12 @@
 }
 
 /// Servers whose entries changed.
-pub(crate) type Changed = Vec<ServerKey>;
+pub(crate) type ChangedServers = Vec<ServerKey>;
 
-impl Lists {
-    pub(crate) fn new(pace: Pace, now: Millis) -> Lists {
-        Lists {
-            round: now + pace.round,
+impl ListReplica {
+    pub(crate) fn new(pace: ListConfig, now: Millis) -> ListReplica {
+        ListReplica {
+            round: now + pace.query_interval,
             pace,
             rank: Rank::default(),
             store: Store::default(),
@@ -147,22 +147,22 @@
     }
 
     /// How the list has a server stand.
-    pub fn standing(&self, server: ServerKey) -> Option<ServerState> {
+    pub fn server_state(&self, server: ServerKey) -> Option<ServerState> {
         self.store.items.get(&server).map(|item| item.standing)
     }
 
     /// How many servers the list has serving.
-    pub fn serving(&self) -> usize {
+    pub fn serving_count(&self) -> usize {
         self.store.serving
     }
 
     /// This member's own discovery told a list.
-    pub(crate) fn listed(
+    pub(crate) fn apply_discovery_list(
         &mut self,
         version: u64,
         whole: bool,
         entries: &[ServerEntry],
-        changed: &mut Changed,
+        changed: &mut ChangedServers,
         out: &mut Vec<Output>,
     ) {
         self.live = true;
@@ -189,20 +189,20 @@
             let left = self.store.left_out - before;
             out.push(Output::Log(format!(
                 "{left} servers of list {version} are not shared with peers: an entry takes more than {BODY} bytes or \
-                 there are more than {ENTRIES}"
+                 there are more than {MAX_ENTRIES}"
             )));
         }
     }
 
     /// Whether this member's own discovery answers. Where another list is held than it told last, the member still
     /// takes what others have until it tells one.
-    pub(crate) fn reach(&mut self, up: bool) {
+    pub(crate) fn set_discovery_reachable(&mut self, up: bool) {
         self.live = up && self.direct == Some(self.rank.version);
         self.outranked = None;
     }
 
     /// What a member holds, from one that does not say whether its discovery answers.
-    pub(crate) fn holds(&mut self, by: MemberId, rank: Rank) {
+    pub(crate) fn record_rank(&mut self, by: MemberId, rank: Rank) {
         let live = self.heard.get(&by).is_some_and(|(_, live)| *live);
         self.told(by, rank, live);
     }
@@ -215,7 +215,7 @@
     }
 
     /// A member's fact of the kind `LIST`.
-    pub(crate) fn fact(&mut self, by: MemberId, body: &[u8]) {
+    pub(crate) fn apply_fact(&mut self, by: MemberId, body: &[u8]) {
         if body.is_empty() {
             self.heard.remove(&by);
             return;
@@ -227,7 +227,7 @@
     }
 
     /// A member is gone: nothing can be pulled from it.
-    pub(crate) fn gone(&mut self, member: MemberId) {
+    pub(crate) fn remove_member(&mut self, member: MemberId) {
         self.heard.remove(&member);
         if self.pull.as_ref().is_some_and(|pull| pull.source == member) {
             self.pull = None;
@@ -244,10 +244,10 @@
         self.keep_fact(now, trouble, out);
     }
 
-    /// When [`Lists::tick`] is due next.
-    pub(crate) fn next(&self) -> Option<Millis> {
+    /// When [`ListReplica::tick`] is due next.
+    pub(crate) fn next_tick(&self) -> Option<Millis> {
         if self.live {
-            return self.outranked.map(|since| since + PATIENCE * self.pace.round);
+            return self.outranked.map(|since| since + PATIENCE * self.pace.query_interval);
         }
         let pull = self.pull.as_ref().map_or(Millis::MAX, |pull| pull.again);
         Some(self.round.min(pull))
@@ -264,7 +264,7 @@
             None => self.outranked = None,
             Some(rank) => {
                 let since = *self.outranked.get_or_insert(now);
-                if now.saturating_sub(since) >= PATIENCE * self.pace.round {
+                if now.saturating_sub(since) >= PATIENCE * self.pace.query_interval {
                     self.begin_epoch(rank.epoch.saturating_add(1));
                     self.outranked = None;
                 }
--- a/crates/peers/src/lists/pull.rs
+++ b/crates/peers/src/lists/pull.rs
@@ -11,8 +11,8 @@
 use serde::{Deserialize, Serialize};
 
 pub use super::store::Place;
-use super::store::{BODY, ENTRIES, decoded};
-use super::{Changed, Lists, Rank};
+use super::store::{BODY, MAX_ENTRIES, decoded};
+use super::{ChangedServers, ListReplica, Rank};
 use crate::api::{MemberId, Millis, ServerKey, ServerState};
 use crate::coordinator::{self, Output};
 
@@ -152,14 +152,14 @@
     out.push(Output::Send { to, message: coordinator::Message::List(message) });
 }
 
-impl Lists {
+impl ListReplica {
     /// A member's message about lists.
-    pub(crate) fn message(
+    pub(crate) fn handle_message(
         &mut self,
         now: Millis,
         from: MemberId,
         message: Message,
-        changed: &mut Changed,
+        changed: &mut ChangedServers,
         out: &mut Vec<Output>,
     ) {
         match message {
@@ -210,7 +210,7 @@
             send(to, Message::Short { rank: self.rank }, out);
             return;
         }
-        if now.saturating_sub(self.served.0) >= self.pace.period {
+        if now.saturating_sub(self.served.0) >= self.pace.retry_interval {
             self.served = (now, 0);
         }
         let mut place = after;
@@ -243,7 +243,7 @@
     /// Whether a part of this rank belongs to the present pull. A newer one from its source does, but then what
     /// came ahead of the chain does not: an entry may have moved from there to the end.
     fn follows(&mut self, from: MemberId, rank: Rank) -> bool {
-        self.holds(from, rank);
+        self.record_rank(from, rank);
         let Some(pull) = &mut self.pull else { return false };
         if pull.source != from || rank < pull.rank {
             return false;
@@ -261,7 +261,7 @@
     }
 
     /// Takes a part's entries, where they are in order and whole.
-    fn take(&mut self, rank: Rank, after: Place, items: &[(u64, Vec<u8>)], changed: &mut Changed) {
+    fn take(&mut self, rank: Rank, after: Place, items: &[(u64, Vec<u8>)], changed: &mut ChangedServers) {
         let mut upto = after;
         let mut read = Vec::with_capacity(items.len());
         for (at, body) in items {
@@ -288,7 +288,7 @@
             match &mut pull.fresh {
                 Some(fresh) => {
                     let newer = fresh.get(&key).is_none_or(|(old, ..)| *old < at);
-                    if newer && (fresh.len() < 2 * ENTRIES) {
+                    if newer && (fresh.len() < 2 * MAX_ENTRIES) {
                         fresh.insert(key, (at, standing, body));
                     }
                 }
@@ -303,7 +303,7 @@
     }
 
     /// Ends the pull where all is there, or asks for more where the last asking is answered.
-    fn go_on(&mut self, now: Millis, changed: &mut Changed, out: &mut Vec<Output>) {
+    fn go_on(&mut self, now: Millis, changed: &mut ChangedServers, out: &mut Vec<Output>) {
         let Some(pull) = &self.pull else { return };
         match pull.end {
             Some((after, digest, floor)) if after <= pull.come => {
@@ -314,7 +314,14 @@
         }
     }
 
-    fn finish(&mut self, now: Millis, digest: u64, floor: u64, changed: &mut Changed, out: &mut Vec<Output>) {
+    fn finish(
+        &mut self,
+        now: Millis,
+        digest: u64,
+        floor: u64,
+        changed: &mut ChangedServers,
+        out: &mut Vec<Output>,
+    ) {
         let Some(pull) = self.pull.take() else { return };
         let difference = pull.fresh.is_none();
         if let Some(fresh) = pull.fresh {
@@ -333,7 +340,7 @@
         if self.store.digest == digest {
             return;
         }
-        let lately = self.mended.is_some_and(|at| now.saturating_sub(at) < MEND * self.pace.round);
+        let lately = self.mended.is_some_and(|at| now.saturating_sub(at) < MEND * self.pace.query_interval);
         if difference && !lately {
             self.mended = Some(now);
             self.pull = Some(Pull::new(pull.source, pull.rank, Rank::default()));
@@ -346,7 +353,7 @@
         let Some(pull) = &mut self.pull else { return };
         pull.parts = 0;
         pull.tries += 1;
-        pull.again = now + self.pace.period;
+        pull.again = now + self.pace.retry_interval;
         let message = Message::Pull { epoch: pull.rank.epoch, since: pull.since, after: pull.come };
         send(pull.source, message, out);
     }
@@ -360,14 +367,14 @@
                 self.ask(now, out);
             } else {
                 let source = pull.source;
-                self.gone(source);
+                self.remove_member(source);
             }
         }
         if self.pull.is_none() {
             self.begin_pull(now, out);
         }
         if now >= self.round {
-            self.round = now + self.pace.round + self.draw(self.pace.round);
+            self.round = now + self.pace.query_interval + self.draw(self.pace.query_interval);
             let others = u64::from(self.pace.members.saturating_sub(1));
             if others > 0 {
                 // Any member but this one, each with the same chance.
--- a/crates/peers/src/lists/store.rs
+++ b/crates/peers/src/lists/store.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::Changed;
+use super::ChangedServers;
 use crate::api::{ServerEntry, ServerKey, ServerState};
 
 /// The longest encoded entry, in bytes: a datagram holds one with its head. A host's name of 64 bytes fits with 36
@@ -13,7 +13,7 @@
 pub const BODY: usize = 150;
 
 /// How many servers a list holds at most, ended ones not counted.
-pub const ENTRIES: usize = 16_384;
+pub const MAX_ENTRIES: usize = 16_384;
 
 /// How many ended servers are remembered, so that members that are behind learn that they are gone.
 const ENDED: usize = 1_024;
@@ -78,7 +78,7 @@
     }
 
     /// The whole list of a version: who is missing has ended.
-    pub fn replace(&mut self, entries: &[ServerEntry], version: u64, changed: &mut Changed) {
+    pub fn replace(&mut self, entries: &[ServerEntry], version: u64, changed: &mut ChangedServers) {
         let named: BTreeSet<ServerKey> = entries.iter().map(|entry| ServerKey::of(&entry.host)).collect();
         self.end_others(&named, version, changed);
         self.change(entries, version, true, changed);
@@ -91,11 +91,11 @@
     }
 
     /// Entries that changed at a version.
-    pub fn update(&mut self, entries: &[ServerEntry], version: u64, changed: &mut Changed) {
+    pub fn update(&mut self, entries: &[ServerEntry], version: u64, changed: &mut ChangedServers) {
         self.change(entries, version, false, changed);
     }
 
-    fn change(&mut self, entries: &[ServerEntry], version: u64, whole: bool, changed: &mut Changed) {
+    fn change(&mut self, entries: &[ServerEntry], version: u64, whole: bool, changed: &mut ChangedServers) {
         for entry in entries {
             let Some(body) = encoded(entry) else {
                 self.left_out += 1;
@@ -112,7 +112,7 @@
     }
 
     /// All that are not named have ended at a version.
-    pub fn end_others(&mut self, named: &BTreeSet<ServerKey>, version: u64, changed: &mut Changed) {
+    pub fn end_others(&mut self, named: &BTreeSet<ServerKey>, version: u64, changed: &mut ChangedServers) {
         let missing: Vec<ServerKey> = self
             .items
             .iter()
@@ -137,7 +137,7 @@
         at: u64,
         standing: ServerState,
         body: Vec<u8>,
-        changed: &mut Changed,
+        changed: &mut ChangedServers,
     ) {
         let old = self.items.get(&key);
         if let Some(same) = old.filter(|old| old.body == body) {
@@ -146,7 +146,7 @@
         }
         if old.is_none_or(|old| old.standing == ServerState::Gone)
             && standing != ServerState::Gone
-            && self.live() >= ENTRIES
+            && self.live() >= MAX_ENTRIES
         {
             self.left_out += 1;
             return;
--- a/crates/peers/src/lists/tests.rs
+++ b/crates/peers/src/lists/tests.rs
@@ -8,7 +8,7 @@
 }
 
 fn digests(fleet: &Fleet) -> Vec<(Rank, u64, usize)> {
-    let of = |lists: &Lists| (lists.rank, lists.store.digest, lists.store.live());
+    let of = |lists: &ListReplica| (lists.rank, lists.store.digest, lists.store.live());
     fleet.nodes.iter().map(|node| of(node.lists())).collect()
 }
 
