--- a/crates/peers/src/lists/tests.rs
+++ b/crates/peers/src/lists/tests.rs
@@ -8,8 +8,8 @@
 }
 
 fn digests(fleet: &Fleet) -> Vec<(Rank, u64, usize)> {
-    let of = |lists: &ListReplica| (lists.rank, lists.store.digest, lists.store.live());
-    fleet.nodes.iter().map(|node| of(node.lists())).collect()
+    let summary = |lists: &ListReplica| (lists.rank, lists.store.digest, lists.store.listed_count());
+    fleet.nodes.iter().map(|node| summary(node.lists())).collect()
 }
 
 #[test]
@@ -92,11 +92,11 @@
     fleet.input(1, listed(9, true, list(8)));
     fleet.set_reach(1, Reachability::Down);
     fleet.run(2_000);
-    assert_eq!(fleet.nodes[0].lists().store.live(), 3);
+    assert_eq!(fleet.nodes[0].lists().store.listed_count(), 3);
     // Nor does discovery's return without a new list leave what others gave in doubt.
     fleet.set_reach(0, Reachability::Down);
     fleet.run(5_000);
-    assert_eq!(fleet.nodes[0].lists().store.live(), 8);
+    assert_eq!(fleet.nodes[0].lists().store.listed_count(), 8);
     fleet.set_reach(0, Reachability::Up);
     assert!(!fleet.nodes[0].lists().live(), "it told 5, and 9 is held");
 }
@@ -129,14 +129,14 @@
     let mut fleet = Fleet::new(3);
     fleet.set_reach(2, Reachability::Down);
     fleet.input(0, listed(5, true, list(2)));
-    let body = |number| store::encoded(&entry(number, ServerState::Serving)).expect("it fits");
+    let body = |number| store::encode(&entry(number, ServerState::Serving)).expect("it fits");
     let rank = Rank { epoch: 0, version: 5 };
-    let part = |rank, items| Words::List(Message::Part { rank, after: pull::Place::default(), items });
+    let part = |rank, items| Words::List(Message::Part { rank, after: pull::Position::default(), items });
     let give = |fleet: &mut Fleet, from, message| {
         fleet.input(2, Input::Message { from: MemberId(from), incarnation: 1, message });
     };
     give(&mut fleet, 0, part(rank, vec![(1, body(9))]));
-    assert_eq!(fleet.nodes[2].lists().store.live(), 0, "no pull");
+    assert_eq!(fleet.nodes[2].lists().store.listed_count(), 0, "no pull");
     give(&mut fleet, 0, Words::List(Message::Have { rank, live: true }));
     assert!(fleet.nodes[2].lists().pull.is_some());
     // From another than was asked; not an entry; newer than its list; not in order.
@@ -144,9 +144,9 @@
     for items in [vec![(1, vec![0xff; 20])], vec![(6, body(9))], vec![(2, body(9)), (1, body(8))]] {
         give(&mut fleet, 0, part(rank, items));
     }
-    assert_eq!(fleet.nodes[2].lists().refused(), 3);
+    assert_eq!(fleet.nodes[2].lists().rejected(), 3);
     fleet.run(5_000);
-    assert_eq!(fleet.nodes[2].lists().store.live(), 2);
+    assert_eq!(fleet.nodes[2].lists().store.listed_count(), 2);
     assert!(fleet.nodes[2].lists().entry(key(9)).is_none());
 }
 
