--- a/crates/peers/src/lists.rs
+++ b/crates/peers/src/lists.rs
@@ -1,26 +1,30 @@
-//! Discovery's list, from whoever of the members has the newest.
+//! The exchange of discovery's server list between members.
 //!
-//! Each member keeps what its own discovery told it, every entry with the version at which it changed. While its
-//! own discovery is out of reach, a member that is behind pulls the difference from one that is ahead (`pull.rs`).
+//! Each member keeps a copy of the list that its own discovery sent. Every entry carries the version at which
+//! it last changed. A member whose own discovery is unreachable and whose list is older than another member's
+//! pulls the changed entries from that member (`pull.rs`).
 //!
-//! **Which list is newer.** Versions of one discovery count up, but discovery may restart and count from one again.
-//! So lists are ranked by epoch, then by version. A member raises the epoch only where its own discovery answers,
-//! when
-//! - its own discovery told a whole list of a lower version than it had told before: it began anew;
-//! - members without discovery held a higher rank for [`RESTART_CONFIRM_OUTAGES`] outages: discovery began anew before it was
-//!   heard here. A replica of discovery that only lags has caught up by then, so that its lag does not undo drains
-//!   that others were told.
+//! **Which list is newer.** The versions of one discovery service only increase, but discovery can restart
+//! and count from one again. Lists are therefore compared by epoch first and by version second. Only a member
+//! that reaches its own discovery increases the epoch, in two cases:
+//! - Its own discovery sends a complete list with a lower version than it sent before. Discovery has
+//!   restarted.
+//! - Members without discovery have held a higher rank than this member for [`RESTART_CONFIRM_OUTAGES`]
+//!   outage thresholds. Discovery restarted before this member first heard from it. The wait gives a replica
+//!   of discovery that only lags the time to catch up. Without the wait, its old list would undo drains that
+//!   other members already know of.
 //!
-//! Members with discovery adopt the highest_without_discovery epoch among themselves at once: they hear one discovery. Weighed
-//! against this: "the live list always wins" flips back as soon as its teller falls silent, for the others still
-//! hold the higher version; "the higher version always wins" leaves a region on a list from before the restart for
-//! as long as its own discovery is away.
+//! A member that reaches discovery adopts the highest epoch among all such members at once, because they all
+//! hear the same discovery service. Two simpler rules fail. With "the live list always wins", members fall
+//! back to the old list as soon as the member with the live list goes silent, because the others still hold a
+//! higher version. With "the higher version always wins", a region keeps a list from before the restart for
+//! as long as its own discovery is unreachable.
 //!
-//! **Whom to trust.** What a member's own discovery says always wins at that member, and one whose discovery
-//! answers takes nothing from others. Configured members are trusted to pass on what discovery told them: one that
-//! lies can name servers to those without discovery, [`MAX_ENTRIES`] at most, until their own discovery is back. Nobody
-//! else can: datagrams come from configured addresses only, and what does not follow in order or does not decode is
-//! refused and counted.
+//! **Trust.** At each member, the list from its own discovery always wins. A member that reaches its own
+//! discovery takes no entries from others. Configured members are trusted to pass on what discovery sent
+//! them. A member that lies can add servers, at most [`MAX_ENTRIES`], at members without discovery until
+//! their own discovery is back. Nobody else can: datagrams are accepted from configured addresses only. Parts
+//! that are out of order or do not decode are rejected and counted.
 
 mod pull;
 mod store;
@@ -37,68 +41,75 @@
 use pull::Pull;
 use store::Store;
 
-/// How many outages members without discovery must have held a newer list before one with discovery says that
-/// versions began anew.
+/// How long members without discovery must hold a newer list before a member with discovery concludes that
+/// discovery restarted its versions. The unit is the outage threshold ([`ListConfig::query_interval`]).
 pub const RESTART_CONFIRM_OUTAGES: u64 = 5;
 
-/// How new a list is: the higher one counts.
+/// How recent a list is. Of two lists, the one with the higher rank is used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Rank {
-    /// Counts how often discovery's versions began anew.
+    /// The number of times that discovery restarted its versions.
     pub epoch: u32,
-    /// Discovery's version; 0: none.
+    /// The version that discovery gave the list, or 0 if there is no list yet.
     pub version: u64,
 }
 
-/// Times that lists go by, in milliseconds, and who is there.
+/// The intervals and the cluster membership that the exchange of lists uses.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct ListConfig {
+    /// This member.
     pub me: MemberId,
-    /// How many members are configured, this one included.
+    /// The number of configured members, including this one.
     pub members: u16,
-    /// What is not answered in this time is asked again.
+    /// The time after which a request without a complete reply is sent again.
     pub retry_interval: Millis,
-    /// How often a member without discovery asks another, at random, whether it has a newer list.
+    /// The shortest interval at which a member without discovery asks a random member whether it has a newer
+    /// list. Equals the outage threshold.
     pub query_interval: Millis,
+    /// The seed of the random choices: which member to query or to pull from, and when to query.
     pub seed: u64,
 }
 
 impl ListConfig {
-    /// How long a member waits between two facts about its list, so that the whole fleet changes 50 of them a
-    /// second at most.
+    /// The shortest interval between two facts that a member publishes about its list. It grows with the
+    /// number of members, so that the whole cluster publishes at most 50 such facts per second.
     fn publish_interval(&self) -> Millis {
         self.query_interval.max(20 * u64::from(self.members))
     }
 }
 
-/// The list that a member holds, and what it does to hold the newest.
+/// A member's copy of discovery's server list, and the state of the protocol that keeps the copy up to date.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ListReplica {
     config: ListConfig,
     rank: Rank,
     store: Store,
-    /// The newest version that this member's own discovery told in this epoch.
+    /// The latest version that this member's own discovery sent in the current epoch.
     own_version: Option<u64>,
-    /// Its own discovery answers, and told a list since it does.
+    /// Whether this member's own discovery is reachable and has sent the list that is held.
     live: bool,
-    /// What others hold, as they told.
+    /// The rank of each other member's list, and whether that list is live, as last reported by that member.
     peer_lists: BTreeMap<MemberId, (Rank, bool)>,
+    /// The pull in progress.
     pull: Option<Pull>,
-    /// When another is asked whether it has a newer list.
+    /// When to ask the next random member whether it has a newer list.
     next_query_at: Millis,
+    /// The number of random values drawn so far.
     draws: u64,
-    /// Since when members without discovery have held a higher rank than this one with it.
+    /// Since when members without discovery have held a higher rank than this member, which has discovery.
     outranked_since: Option<Millis>,
-    /// The fact as it was last spread, and when.
+    /// The last published fact about this list, and when it was published.
     published: Option<(ListFact, Millis)>,
-    /// Parts sent in the period that began then.
+    /// The start of the current period, and the number of parts sent in it.
     parts_sent: (Millis, u32),
-    /// When the whole was last pulled because a difference led to another list than its source's.
+    /// When the complete list was last pulled because applying a difference had produced a list that differs
+    /// from the source's.
     repaired_at: Option<Millis>,
+    /// The number of facts and parts that were rejected as malformed.
     rejected: u64,
 }
 
-/// Servers whose entries changed.
+/// The servers whose entries changed while one input was processed.
 pub(crate) type ChangedServers = Vec<ServerKey>;
 
 impl ListReplica {
@@ -121,42 +132,45 @@
         }
     }
 
-    /// How new it is.
+    /// The rank of the list that is held.
     pub fn rank(&self) -> Rank {
         self.rank
     }
 
-    /// Whether this member's own discovery answers and told a list since it does.
+    /// Whether the list is live: this member's own discovery is reachable and has sent the list that is held.
     pub fn live(&self) -> bool {
         self.live
     }
 
-    /// Entries that were left out because they do not fit a datagram or are too many.
+    /// The number of entries that were left out because they do not fit into a datagram or exceed
+    /// [`MAX_ENTRIES`].
     pub fn left_out(&self) -> u64 {
         self.store.left_out
     }
 
-    /// Messages that made no sense.
+    /// The number of facts and parts that were rejected: they do not decode, or their entries are out of
+    /// order or newer than the list.
     pub fn rejected(&self) -> u64 {
         self.rejected
     }
 
-    /// The entry of a server as the list has it.
+    /// The entry of a server in the list.
     pub fn entry(&self, server: ServerKey) -> Option<ServerEntry> {
         self.store.items.get(&server).and_then(|item| store::decode(&item.body))
     }
 
-    /// How the list has a server stand.
+    /// The state of a server according to the list.
     pub fn server_state(&self, server: ServerKey) -> Option<ServerState> {
         self.store.items.get(&server).map(|item| item.state)
     }
 
-    /// How many servers the list has serving.
+    /// The number of servers that are serving according to the list.
     pub fn serving_count(&self) -> usize {
         self.store.serving
     }
 
-    /// This member's own discovery told a list.
+    /// Applies a list from this member's own discovery. If `complete` is false, `entries` holds changed
+    /// entries only.
     pub(crate) fn apply_discovery_list(
         &mut self,
         version: u64,
@@ -167,8 +181,8 @@
     ) {
         self.live = true;
         self.pull = None;
-        let before = self.store.left_out;
-        let first = self.rank.version == 0;
+        let left_out_before = self.store.left_out;
+        let is_first = self.rank.version == 0;
         if complete {
             if self.own_version.is_some_and(|own| version < own) {
                 self.begin_epoch(self.rank.epoch.saturating_add(1));
@@ -176,57 +190,58 @@
             self.rank.version = version;
             self.store.replace_all(entries, version, changed);
         } else {
-            // What changed since a version below what peers gave: as new as that, for those who pull it from here.
+            // The version can be lower than the version of the list that peers sent. The changed entries then
+            // get the higher version, so that members that pull from this one receive them.
             self.rank.version = self.rank.version.max(version);
             self.store.update(entries, self.rank.version, changed);
         }
-        if first {
-            // Nothing is known of what ended before.
+        if is_first {
+            // This member does not know which servers went away before its first list.
             self.store.floor = self.rank.version;
         }
         self.own_version = Some(version);
-        if self.store.left_out > before {
-            let left = self.store.left_out - before;
+        if self.store.left_out > left_out_before {
+            let left = self.store.left_out - left_out_before;
             actions.push(Output::Log(format!(
-                "{left} servers of list {version} are not shared with peers: an entry takes more than {MAX_ENTRY_BYTES} bytes or \
-                 there are more than {MAX_ENTRIES}"
+                "{left} servers of list {version} are not shared with peers: an entry takes more than \
+                 {MAX_ENTRY_BYTES} bytes or there are more than {MAX_ENTRIES} servers"
             )));
         }
     }
 
-    /// Whether this member's own discovery answers. Where another list is held than it told last, the member still
-    /// takes what others have until it tells one.
+    /// Records whether this member's own discovery is reachable. If the list that is held is not the last one
+    /// that discovery sent, the member keeps taking newer lists from others until discovery sends one.
     pub(crate) fn set_discovery_reachable(&mut self, up: bool) {
         self.live = up && self.own_version == Some(self.rank.version);
         self.outranked_since = None;
     }
 
-    /// What a member holds, from one that does not say whether its discovery answers.
-    pub(crate) fn record_rank(&mut self, by: MemberId, rank: Rank) {
-        let live = self.peer_lists.get(&by).is_some_and(|(_, live)| *live);
-        self.record_rank_and_live(by, rank, live);
+    /// Records the rank of another member's list from a message that does not say whether that list is live.
+    pub(crate) fn record_rank(&mut self, member: MemberId, rank: Rank) {
+        let live = self.peer_lists.get(&member).is_some_and(|(_, live)| *live);
+        self.record_rank_and_live(member, rank, live);
     }
 
-    /// What a member holds, as it said.
-    pub(crate) fn record_rank_and_live(&mut self, by: MemberId, rank: Rank, live: bool) {
-        if by != self.config.me && by.0 < self.config.members {
-            self.peer_lists.insert(by, (rank, live));
+    /// Records the rank of another member's list, and whether that list is live.
+    pub(crate) fn record_rank_and_live(&mut self, member: MemberId, rank: Rank, live: bool) {
+        if member != self.config.me && member.0 < self.config.members {
+            self.peer_lists.insert(member, (rank, live));
         }
     }
 
-    /// A member's fact of the kind `LIST`.
-    pub(crate) fn apply_fact(&mut self, by: MemberId, body: &[u8]) {
+    /// Applies a member's fact of the kind [`FactKind::LIST_VERSION`]. An empty body withdraws the fact.
+    pub(crate) fn apply_fact(&mut self, member: MemberId, body: &[u8]) {
         if body.is_empty() {
-            self.peer_lists.remove(&by);
+            self.peer_lists.remove(&member);
             return;
         }
         match postcard::from_bytes::<ListFact>(body) {
-            Ok(fact) => self.record_rank_and_live(by, fact.rank, fact.live),
+            Ok(fact) => self.record_rank_and_live(member, fact.rank, fact.live),
             Err(_) => self.rejected += 1,
         }
     }
 
-    /// A member is gone: nothing can be pulled from it.
+    /// Stops using a member as a source, because it is dead or does not answer pulls.
     pub(crate) fn remove_member(&mut self, member: MemberId) {
         self.peer_lists.remove(&member);
         if self.pull.as_ref().is_some_and(|pull| pull.source == member) {
@@ -234,7 +249,8 @@
         }
     }
 
-    /// Does what is due. `trouble`: some member, this one or another, has no discovery.
+    /// Takes all steps that are due. `discovery_down` says whether any live member, this one included, cannot
+    /// reach discovery.
     pub(crate) fn tick(&mut self, now: Millis, discovery_down: bool, actions: &mut Vec<Output>) {
         if self.live {
             self.update_epoch(now);
@@ -244,7 +260,7 @@
         self.publish_fact(now, discovery_down, actions);
     }
 
-    /// When [`ListReplica::tick`] is due next.
+    /// The next time at which [`ListReplica::tick`] has something to do.
     pub(crate) fn next_tick(&self) -> Option<Millis> {
         if self.live {
             return self
@@ -255,7 +271,9 @@
         Some(self.next_query_at.min(pull))
     }
 
-    /// Where discovery answers here: its versions began anew if others hold a higher rank for long.
+    /// Updates the epoch of a live list: adopts the highest epoch of any other live list, and begins a new
+    /// epoch if members without discovery have held a higher rank for [`RESTART_CONFIRM_OUTAGES`] outage
+    /// thresholds.
     fn update_epoch(&mut self, now: Millis) {
         let live_epoch = self.peer_lists.values().filter(|(_, live)| *live).map(|(rank, _)| rank.epoch).max();
         if let Some(epoch) = live_epoch.filter(|epoch| *epoch > self.rank.epoch) {
@@ -275,13 +293,13 @@
         }
     }
 
-    /// Versions count anew: who holds a list of an older epoch must pull the whole.
+    /// Sets the epoch. Members that hold a list of another epoch must then pull the complete list.
     fn begin_epoch(&mut self, epoch: u32) {
         self.rank.epoch = epoch;
         self.store.rebase(self.rank.version);
     }
 
-    /// Spreads the fact about this list, where somebody may need it.
+    /// Publishes the fact about this list if some member may need it, and withdraws it otherwise.
     fn publish_fact(&mut self, now: Millis, discovery_down: bool, actions: &mut Vec<Output>) {
         if let Some((_, at)) = &self.published
             && now.saturating_sub(*at) < self.config.publish_interval()
@@ -303,7 +321,7 @@
         self.published = fact.map(|fact| (fact, now));
     }
 
-    /// A number below `n` that follows from the seed and how many were drawn.
+    /// Returns a number below `n`, determined by the seed and the count of numbers drawn before.
     fn random_below(&mut self, n: u64) -> u64 {
         self.draws += 1;
         crate::coordinator::splitmix64(self.config.seed, self.draws) % n.max(1)
--- a/crates/peers/src/lists/pull.rs
+++ b/crates/peers/src/lists/pull.rs
@@ -1,10 +1,10 @@
-//! How a member that is behind gets what changed from one that is ahead: datagram by datagram, from where it had
-//! come to.
+//! Pulls: how a member with an older list gets the changed entries from a member with a newer one.
 //!
-//! A part says after which place of the source's order it follows and ends with its last entry's place. So parts
-//! may be lost, doubled or come in any order: those that follow are chained to what is there, and the asker asks
-//! again from where the chain ends. Places of two sources do not compare, so that a change of source begins again
-//! from the asker's own version.
+//! The source sends its entries in the order in which they changed, in datagrams called parts. Each part
+//! names the position that it follows, and ends at the position of its last entry. Parts can therefore be
+//! lost, duplicated or reordered: the receiver chains the parts that connect to what it already has, and asks
+//! again from the position where the chain ends. Positions of two sources are not comparable, so a pull from
+//! another source starts again from the receiver's own version.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,105 +16,114 @@
 use crate::api::{MemberId, Millis, ServerKey, ServerState};
 use crate::coordinator::{self, Output};
 
-/// Bytes of entries in a part: 200, less 38 for all else at its longest.
+/// The largest number of bytes of entries in a part: the 200 bytes of a message, less 38 for everything else
+/// in the message at its longest.
 const MAX_PART_BYTES: usize = MAX_ENTRY_BYTES + 12;
-/// Parts that answer one asking.
+/// The largest number of parts that answer one request.
 const PARTS_PER_REQUEST: u32 = 8;
-/// Parts that a member sends in a period, to all who ask.
+/// The largest number of parts that a member sends per [`ListConfig::retry_interval`](super::ListConfig), to
+/// all receivers together.
 const MAX_PARTS_PER_PERIOD: u32 = 64;
-/// Askings without progress before another source is tried.
+/// The number of requests without progress after which the member gives up the source.
 const MAX_ATTEMPTS: u32 = 6;
-/// After how many rounds a was_difference that led to another list than its source's may be mended again by pulling the
-/// whole.
+/// The shortest time between two repairs, in query intervals. A repair pulls the complete list, because
+/// applying a difference has produced a list that differs from the source's.
 const REPAIR_INTERVALS: u64 = 20;
 
-/// The body of a fact of the kind `LIST`.
+/// The body of a fact of the kind [`FactKind::LIST_VERSION`](crate::api::FactKind::LIST_VERSION).
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ListFact {
-    /// How new the list is.
+    /// The rank of the list.
     pub rank: Rank,
-    /// How many servers it has.
+    /// The number of servers in the list that are not gone.
     pub count: u32,
-    /// Of all its entries.
+    /// The digest of all entries that are not gone.
     pub digest: u64,
-    /// Whether its holder's own discovery answers.
+    /// Whether the list is live: the publisher's own discovery is reachable and has sent this list.
     pub live: bool,
 }
 
-/// What members tell each other about lists.
+/// A message between members about their lists.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// I hold this: do you have a newer one?
+    /// Asks which list the receiver holds, and tells it the sender's rank.
     Query {
-        /// What is held.
+        /// The rank of the list that the sender holds.
         rank: Rank,
     },
-    /// I hold this.
+    /// Tells the receiver which list the sender holds.
     Have {
-        /// What is held.
+        /// The rank of the list that the sender holds.
         rank: Rank,
-        /// Whether its holder's own discovery answers.
+        /// Whether the list is live: the sender's own discovery is reachable and has sent this list.
         live: bool,
     },
-    /// Send what changed.
+    /// Requests the entries that changed.
     Pull {
-        /// In this epoch...
+        /// The epoch of the list that the receiver is expected to hold.
         epoch: u32,
-        /// ...since this version, 0 for all...
+        /// The version since which the entries changed, or 0 for the complete list.
         since: u64,
-        /// ...after this place.
+        /// The position after which the receiver starts sending.
         after: Position,
     },
-    /// Some of it.
+    /// Some of the requested entries.
     Part {
-        /// What is held.
+        /// The rank of the list that the sender holds.
         rank: Rank,
-        /// After this place...
+        /// The position that this part directly follows.
         after: Position,
-        /// ...come these entries: the version at which each changed, and itself.
+        /// The entries in the order of their positions: the version at which each changed, and its encoded
+        /// form.
         items: Vec<(u64, Vec<u8>)>,
     },
-    /// Nothing comes after this.
+    /// Says that there are no further entries.
     End {
-        /// What is held.
+        /// The rank of the list that the sender holds.
         rank: Rank,
-        /// After this place.
+        /// The position after which there are no entries.
         after: Position,
-        /// Of all entries.
+        /// The digest of all entries that are not gone.
         digest: u64,
-        /// Ends up to this version may be forgotten.
+        /// The sender may have forgotten servers that went away at this version or earlier.
         floor: u64,
     },
-    /// Ends since that version are forgotten: all must be pulled.
+    /// Says that the sender has forgotten servers that went away since the requested version, so that only
+    /// the complete list can be pulled.
     TooOld {
-        /// What is held.
+        /// The rank of the list that the sender holds.
         rank: Rank,
     },
 }
 
-/// What a pull of the whole has brought so far: version, standing and entry of each server.
+/// The entries that a pull of the complete list has received so far: the version at which each changed, its
+/// state and its encoded form.
 type StagedEntries = BTreeMap<ServerKey, (u64, ServerState, Vec<u8>)>;
 
-/// A pull that goes on.
+/// A pull in progress.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct Pull {
+    /// The member that sends the entries.
     pub source: MemberId,
-    /// What the source holds.
+    /// The rank of the source's list.
     rank: Rank,
-    /// The version that it began from, 0 for all.
+    /// The version that the pull started from, or 0 for the complete list.
     since: u64,
-    /// All up to here is there.
+    /// Everything up to this position has been received.
     complete_to: Position,
-    /// Parts that follow something that is not there yet: from and up to.
+    /// Parts that do not connect to `complete_to` yet: the position that each follows, and its last position.
     out_of_order: BTreeMap<Position, Position>,
-    /// After which place there is nothing, the digest and the floor.
+    /// The contents of the [`Message::End`], if received: the position, the digest and the floor.
     end: Option<(Position, u64, u64)>,
-    /// For the whole: taken only when it is there, so that what is missing is known to be gone.
+    /// The entries of a pull of the complete list. They are applied only once all of them are there, because
+    /// only then are missing servers known to be gone. `None` while pulling a difference, which is applied at
+    /// once.
     staged: Option<StagedEntries>,
-    /// Parts chained since the last asking.
+    /// The number of parts chained since the last request.
     parts_received: u32,
+    /// The number of requests since the last progress.
     attempts: u32,
-    /// When to ask again.
+    /// When to send the request again.
     pub retry_at: Millis,
 }
 
@@ -138,6 +147,7 @@
         }
     }
 
+    /// Moves `complete_to` forward over the parts that connect to it.
     fn advance(&mut self) {
         while let Some(through) = self.out_of_order.remove(&self.complete_to) {
             self.complete_to = through;
@@ -154,7 +164,7 @@
 }
 
 impl ListReplica {
-    /// A member's message about lists.
+    /// Processes a message from another member.
     pub(crate) fn handle_message(
         &mut self,
         now: Millis,
@@ -193,7 +203,7 @@
         }
     }
 
-    /// Answers a pull with a burst of parts.
+    /// Answers a pull request with up to [`PARTS_PER_REQUEST`] messages.
     fn send_parts(
         &mut self,
         now: Millis,
@@ -224,7 +234,7 @@
             let mut bytes = 0;
             let from = position;
             for (next, item) in self.store.after(from) {
-                // A version takes 10 bytes at most, a length 2.
+                // Besides the entry, a version takes at most 10 bytes and a length at most 2.
                 bytes += item.body.len() + 12;
                 if bytes > MAX_PART_BYTES {
                     break;
@@ -241,8 +251,9 @@
         }
     }
 
-    /// Whether a part of this rank belongs to the present pull. A newer one from its source does, but then what
-    /// came ahead of the chain does not: an entry may have moved from there to the end.
+    /// Returns whether a message of this rank belongs to the current pull. A message with a newer rank from
+    /// the same source and epoch does. The parts that do not connect to the chain yet are then dropped,
+    /// because the source may have moved an entry from their range to the end.
     fn belongs_to_pull(&mut self, from: MemberId, rank: Rank) -> bool {
         self.record_rank(from, rank);
         let Some(pull) = &mut self.pull else { return false };
@@ -261,7 +272,8 @@
         true
     }
 
-    /// Takes a part's entries, where they are in order and whole.
+    /// Applies the entries of a part. Rejects the part if an entry does not decode, is out of order or is
+    /// newer than the source's list.
     fn apply_part(
         &mut self,
         rank: Rank,
@@ -291,7 +303,8 @@
         {
             return;
         }
-        // A part that overlaps what is there leads on from there, for both are in the source's order.
+        // If the part overlaps what has been received, it continues from `complete_to`, because both are in
+        // the source's order.
         pull.out_of_order.insert(after.max(pull.complete_to), through);
         for (key, changed_at, state, body) in decoded {
             match &mut pull.staged {
@@ -311,7 +324,8 @@
         pull.advance();
     }
 
-    /// Ends the pull where all is there, or asks for more where the last asking is answered.
+    /// Finishes the pull if everything has been received. Requests more if the last request is fully
+    /// answered.
     fn continue_pull(&mut self, now: Millis, changed: &mut ChangedServers, actions: &mut Vec<Output>) {
         let Some(pull) = &self.pull else { return };
         match pull.end {
@@ -323,6 +337,8 @@
         }
     }
 
+    /// Completes the pull. If applying a difference produced a digest other than the source's, pulls the
+    /// complete list from the same source, unless that happened recently.
     fn finish(
         &mut self,
         now: Millis,
@@ -359,7 +375,7 @@
         }
     }
 
-    /// Asks the pull's source for what comes next.
+    /// Requests the entries after `complete_to` from the source of the pull.
     fn request_parts(&mut self, now: Millis, actions: &mut Vec<Output>) {
         let Some(pull) = &mut self.pull else { return };
         pull.parts_received = 0;
@@ -369,7 +385,8 @@
         send(pull.source, message, actions);
     }
 
-    /// Where discovery does not answer: pulls from one that is ahead, and looks for such now and then.
+    /// Runs while the list is not live. Pulls from a member with a newer list, and asks a random member now
+    /// and then whether it has one.
     pub(super) fn run_pull(&mut self, now: Millis, actions: &mut Vec<Output>) {
         if let Some(pull) = &self.pull
             && now >= pull.retry_at
@@ -389,7 +406,7 @@
                 now + self.config.query_interval + self.random_below(self.config.query_interval);
             let others = u64::from(self.config.members.saturating_sub(1));
             if others > 0 {
-                // Any member but this one, each with the same chance.
+                // Each member except this one is chosen with the same probability.
                 let drawn = u16::try_from(self.random_below(others)).unwrap_or(0);
                 let to = MemberId(if drawn >= self.config.me.0 { drawn + 1 } else { drawn });
                 send(to, Message::Query { rank: self.rank }, actions);
@@ -397,7 +414,8 @@
         }
     }
 
-    /// Chooses by chance among those who hold the newest, so that one is not asked by all.
+    /// Starts a pull if another member is known to hold a newer list. Picks the source at random among the
+    /// members with the newest list, so that not all members pull from the same one.
     fn start_pull(&mut self, now: Millis, actions: &mut Vec<Output>) {
         let Some(newest) =
             self.peer_lists.values().map(|(rank, _)| *rank).max().filter(|rank| *rank > self.rank)
