--- a/crates/peers/src/lists/store.rs
+++ b/crates/peers/src/lists/store.rs
@@ -1,4 +1,5 @@
-//! The entries of a list, in the order in which they changed.
+//! Storage for the entries of a server list. It indexes them by server and by the order in which they
+//! changed, so that a member can send another only what changed since a version.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::Hasher;
@@ -8,56 +9,62 @@
 use super::ChangedServers;
 use crate::api::{ServerEntry, ServerKey, ServerState};
 
-/// The longest encoded entry, in bytes: a datagram holds one with its head. A host's name of 64 bytes fits with 36
-/// bytes for the names of zone and machine.
+/// The largest size of an encoded entry, in bytes. A datagram holds one such entry and the message header. An
+/// entry with a host name of 64 bytes fits if the names of its zone and kind of machine take 36 bytes
+/// together.
 pub const MAX_ENTRY_BYTES: usize = 150;
 
-/// How many servers a list holds at most, ended ones not counted.
+/// The largest number of servers in a list, not counting servers that are gone.
 pub const MAX_ENTRIES: usize = 16_384;
 
-/// How many ended servers are remembered, so that members that are behind learn that they are gone.
+/// The largest number of gone servers that are kept, so that members with an older list learn that they are
+/// gone.
 const MAX_GONE: usize = 1_024;
 
-/// Where an entry is in the order of changes. All entries above `Position { at: version, key: u64::MAX }` changed
-/// after that version.
+/// The position of an entry in the order of changes. All entries that changed after `version` are
+/// above `Position { changed_at: version, key: u64::MAX }`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Position {
-    /// The version at which it changed, or a later one at which this was seen.
+    /// The version at which the entry changed, or a later one at which the change was observed.
     pub changed_at: u64,
-    /// Its server's key.
+    /// The key of the server.
     pub key: u64,
 }
 
-/// An entry as it is kept and sent: encoded by `postcard`, so that equal entries are equal bytes.
+/// An entry as it is stored and sent. It is encoded with `postcard`, so that equal entries have equal bytes.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct StoredEntry {
+    /// The version at which the entry changed.
     pub changed_at: u64,
     pub state: ServerState,
     pub body: Vec<u8>,
 }
 
-/// All entries.
+/// All entries of a list, gone servers included.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 pub(super) struct Store {
     pub items: BTreeMap<ServerKey, StoredEntry>,
+    /// The positions of all entries.
     order: BTreeSet<Position>,
-    /// Ended servers among the items.
+    /// The number of gone servers in `items`.
     gone: usize,
-    /// Serving ones.
+    /// The number of serving servers in `items`.
     pub serving: usize,
-    /// Ends at this version and before may be forgotten: who holds an older list must pull the whole.
+    /// Gone servers that went away at this version or earlier may have been dropped. A member with an older
+    /// list must pull the complete list.
     pub floor: u64,
-    /// The sum of the hashes of all entries that have not ended.
+    /// The sum of the hashes of all entries that are not gone.
     pub digest: u64,
+    /// The number of entries that were left out because they are too large or too many.
     pub left_out: u64,
 }
 
-/// An entry of at most [`MAX_ENTRY_BYTES`] bytes.
+/// Encodes an entry. Returns `None` if it takes more than [`MAX_ENTRY_BYTES`] bytes.
 pub(super) fn encode(entry: &ServerEntry) -> Option<Vec<u8>> {
     postcard::to_allocvec(entry).ok().filter(|body| body.len() <= MAX_ENTRY_BYTES)
 }
 
-/// The entry that is in there, if there is one and nothing else.
+/// Decodes an entry. Returns `None` if the bytes are too many, do not decode or continue after the entry.
 pub(super) fn decode(body: &[u8]) -> Option<ServerEntry> {
     if body.len() > MAX_ENTRY_BYTES {
         return None;
@@ -72,17 +79,18 @@
 }
 
 impl Store {
-    /// How many servers have not ended.
+    /// The number of servers in the list that are not gone.
     pub fn listed_count(&self) -> usize {
         self.items.len() - self.gone
     }
 
-    /// The whole list of a version: who is missing has ended.
+    /// Replaces the list by the complete list of a version. Servers that are missing from it are marked gone.
     pub fn replace_all(&mut self, entries: &[ServerEntry], version: u64, changed: &mut ChangedServers) {
         let listed: BTreeSet<ServerKey> = entries.iter().map(|entry| ServerKey::of(&entry.host)).collect();
         self.mark_missing_gone(&listed, version, changed);
         self.apply(entries, version, true, changed);
-        // The list may be older than what was held: nothing in it changed after its own version.
+        // The new list may have a lower version than the old one. No entry can have changed after the new
+        // version, so positions above that version move down to it.
         let too_new: Vec<Position> =
             self.order.range(Position { changed_at: version, key: u64::MAX }..).copied().collect();
         for position in too_new {
@@ -91,11 +99,12 @@
         self.floor = self.floor.min(version);
     }
 
-    /// Entries that changed at a version.
+    /// Applies entries that changed at a version.
     pub fn update(&mut self, entries: &[ServerEntry], version: u64, changed: &mut ChangedServers) {
         self.apply(entries, version, false, changed);
     }
 
+    /// Stores entries of the complete list of a version, or entries that changed at a version.
     fn apply(&mut self, entries: &[ServerEntry], version: u64, complete: bool, changed: &mut ChangedServers) {
         for entry in entries {
             let Some(body) = encode(entry) else {
@@ -103,7 +112,7 @@
                 continue;
             };
             let key = ServerKey::of(&entry.host);
-            // A whole list names all: those that are as they were did not change now.
+            // A complete list also names entries that did not change. They keep their positions.
             if complete && self.items.get(&key).is_some_and(|item| item.body == body) {
                 continue;
             }
@@ -112,7 +121,7 @@
         self.drop_oldest_gone();
     }
 
-    /// All that are not named have ended at a version.
+    /// Marks all servers that are not in `listed` as gone since a version.
     pub fn mark_missing_gone(
         &mut self,
         listed: &BTreeSet<ServerKey>,
@@ -135,8 +144,8 @@
         self.drop_oldest_gone();
     }
 
-    /// An entry that changed at a version. An equal one takes the later place all the same: it may have changed and
-    /// changed back, and who heard of the first change must hear of the second.
+    /// Stores an entry that changed at a version. An equal entry still moves to the later position: it may
+    /// have changed and changed back, and a member that received the first change must receive the second.
     pub fn put(
         &mut self,
         key: ServerKey,
@@ -168,6 +177,7 @@
         changed.push(key);
     }
 
+    /// Removes an entry and updates the counts and the digest.
     fn remove(&mut self, key: ServerKey) {
         let Some(item) = self.items.remove(&key) else { return };
         self.order.remove(&Position { changed_at: item.changed_at, key: key.0 });
@@ -178,6 +188,7 @@
         self.serving -= usize::from(item.state == ServerState::Serving);
     }
 
+    /// Moves an entry to another version in the order of changes.
     fn move_to(&mut self, key: ServerKey, changed_at: u64) {
         if let Some(item) = self.items.get_mut(&key) {
             self.order.remove(&Position { changed_at: item.changed_at, key: key.0 });
@@ -186,7 +197,7 @@
         }
     }
 
-    /// Puts all entries at one version, and forgets who ended: an epoch begins.
+    /// Moves all entries to one version and drops gone servers, because a new epoch begins.
     pub fn rebase(&mut self, version: u64) {
         let keys: Vec<ServerKey> = self.items.keys().copied().collect();
         for key in keys {
@@ -198,7 +209,7 @@
         self.floor = version;
     }
 
-    /// Forgets the oldest ends beyond [`MAX_GONE`].
+    /// Drops the gone servers that went away first, until at most [`MAX_GONE`] remain.
     fn drop_oldest_gone(&mut self) {
         if self.gone <= MAX_GONE {
             return;
@@ -214,7 +225,7 @@
         }
     }
 
-    /// What changed after a place, in order.
+    /// Returns the entries after a position, in the order of changes.
     pub fn after(&self, position: Position) -> impl Iterator<Item = (Position, &StoredEntry)> {
         let from = (std::ops::Bound::Excluded(position), std::ops::Bound::Unbounded);
         self.order
