--- a/crates/peers/src/lists.rs
+++ b/crates/peers/src/lists.rs
@@ -42,7 +42,7 @@
 use store::Store;
 
 /// How long members without discovery must hold a newer list before a member with discovery concludes that
-/// discovery restarted its versions. The unit is the outage threshold ([`ListConfig::query_interval`]).
+/// discovery restarted its versions. The unit is the outage threshold (`Timing::outage`).
 pub const RESTART_CONFIRM_OUTAGES: u64 = 5;
 
 /// How recent a list is. Of two lists, the one with the higher rank is used.
@@ -61,7 +61,8 @@
     pub me: MemberId,
     /// The number of configured members, including this one.
     pub members: u16,
-    /// The time after which a request without a complete reply is sent again.
+    /// The time after which a request without a complete reply is sent again. Also the period in which the
+    /// number of parts that a member sends is limited.
     pub retry_interval: Millis,
     /// The shortest interval at which a member without discovery asks a random member whether it has a newer
     /// list. Equals the outage threshold.
@@ -82,7 +83,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ListReplica {
     config: ListConfig,
+    /// The rank of the list that is held.
     rank: Rank,
+    /// The entries of the list.
     store: Store,
     /// The latest version that this member's own discovery sent in the current epoch.
     own_version: Option<u64>,
@@ -201,9 +204,9 @@
         }
         self.own_version = Some(version);
         if self.store.left_out > left_out_before {
-            let left = self.store.left_out - left_out_before;
+            let left_out = self.store.left_out - left_out_before;
             actions.push(Output::Log(format!(
-                "{left} servers of list {version} are not shared with peers: an entry takes more than \
+                "{left_out} servers of list {version} are not shared with peers: an entry takes more than \
                  {MAX_ENTRY_BYTES} bytes or there are more than {MAX_ENTRIES} servers"
             )));
         }
@@ -249,8 +252,8 @@
         }
     }
 
-    /// Takes all steps that are due. `discovery_down` says whether any live member, this one included, cannot
-    /// reach discovery.
+    /// Takes all steps that are due. `discovery_down` says whether this member or another that is not
+    /// dead cannot reach discovery.
     pub(crate) fn tick(&mut self, now: Millis, discovery_down: bool, actions: &mut Vec<Output>) {
         if self.live {
             self.update_epoch(now);
--- a/crates/peers/src/lists/pull.rs
+++ b/crates/peers/src/lists/pull.rs
@@ -19,7 +19,8 @@
 /// The largest number of bytes of entries in a part: the 200 bytes of a message, less 38 for everything else
 /// in the message at its longest.
 const MAX_PART_BYTES: usize = MAX_ENTRY_BYTES + 12;
-/// The largest number of parts that answer one request.
+/// The largest number of messages that answer one request. The receiver requests more after this number of
+/// parts.
 const PARTS_PER_REQUEST: u32 = 8;
 /// The largest number of parts that a member sends per [`ListConfig::retry_interval`](super::ListConfig), to
 /// all receivers together.
@@ -60,7 +61,7 @@
     },
     /// Requests the entries that changed.
     Pull {
-        /// The epoch of the list that the receiver is expected to hold.
+        /// The epoch of the list to pull. A receiver whose list has another epoch answers with `Have`.
         epoch: u32,
         /// The version since which the entries changed, or 0 for the complete list.
         since: u64,
@@ -88,8 +89,8 @@
         /// The sender may have forgotten servers that went away at this version or earlier.
         floor: u64,
     },
-    /// Says that the sender has forgotten servers that went away since the requested version, so that only
-    /// the complete list can be pulled.
+    /// Says that the sender may have forgotten servers that went away since the requested version, so that
+    /// only the complete list can be pulled.
     TooOld {
         /// The rank of the list that the sender holds.
         rank: Rank,
@@ -128,6 +129,8 @@
 }
 
 impl Pull {
+    /// Creates a pull of the difference to the list that is held, or of the complete list if there is none or
+    /// its epoch differs.
     fn new(source: MemberId, rank: Rank, held: Rank) -> Pull {
         let complete = rank.epoch != held.epoch || held.version == 0;
         let since = if complete { 0 } else { held.version };
--- a/crates/peers/src/lists/store.rs
+++ b/crates/peers/src/lists/store.rs
@@ -36,7 +36,9 @@
 pub(super) struct StoredEntry {
     /// The version at which the entry changed.
     pub changed_at: u64,
+    /// The state of the server.
     pub state: ServerState,
+    /// The encoded [`ServerEntry`].
     pub body: Vec<u8>,
 }
 
