--- a/crates/peers/src/facts/compare.rs
+++ b/crates/peers/src/facts/compare.rs
@@ -5,7 +5,7 @@
 use rand::RngExt;
 use serde::{Deserialize, Serialize};
 
-use super::{Facts, Owner, Place, encode, frequent};
+use super::{Facts, Owner, Place, encode, is_frequent};
 use crate::api::{MemberId, Millis};
 use crate::wire::{MAX_PART_BYTES, Outbox, PartKind};
 
@@ -36,7 +36,7 @@
     }
 
     /// Takes in a step of a comparison. False: it is malformed.
-    pub fn compared(&mut self, now: Millis, from: MemberId, part: &[u8], out: &mut Outbox) -> bool {
+    pub fn handle_sync(&mut self, now: Millis, from: MemberId, part: &[u8], out: &mut Outbox) -> bool {
         let Ok(step) = postcard::from_bytes::<Compare>(part) else { return false };
         match step {
             Compare::Remainders(theirs) => {
@@ -100,7 +100,7 @@
         let all: Vec<Place> = wanted
             .into_iter()
             .flat_map(|owner| self.of_owner(owner))
-            .filter(|place| !frequent(place.kind))
+            .filter(|place| !is_frequent(place.kind))
             .collect();
         if all.is_empty() {
             return;
--- a/crates/peers/src/facts/mod.rs
+++ b/crates/peers/src/facts/mod.rs
@@ -4,22 +4,22 @@
 //! with each. The higher pair wins, and of an owner of which a newer incarnation is known nothing older is taken.
 //!
 //! **How they spread.** Each period a member tells [`FANOUT`] random living members a datagram each. Rare kinds go first,
-//! what was told least before the rest, each up to [`Facts::tells`] times, a number that grows with the logarithm of the
-//! fleet, and less often where others told it too; frequent kinds ([`frequent`]) take what room is left, this member's own
+//! what was told least before the rest, each up to [`Facts::max_transmissions`] times, a number that grows with the logarithm of the
+//! fleet, and less often where others told it too; frequent kinds ([`is_frequent`]) take what room is left, this member's own
 //! first and then the youngest, and the last datagram of a period carries them first. So the traffic of a member is
 //! bounded whatever the fleet, and in a large one what is held of frequent kinds is a random sample of members, the newest
 //! first.
 //!
 //! **What is missed.** Once a period a member compares its rare facts with one random other: 32 digests of what owners
 //! said, by the owner's place; whoever sees one that differs answers with digests by owner, and for those that differ
-//! facts are told both ways, [`ANSWERED`] datagrams in a period at most. A member that was cut off or started anew catches up so, in
+//! facts are told both ways, [`MAX_SYNC_DATAGRAMS`] datagrams in a period at most. A member that was cut off or started anew catches up so, in
 //! a time that grows with what it missed and not with the fleet.
 //!
 //! **How they end.** A fact that its owner takes back stays as one with an empty body until that expires; one of a gone
 //! member ends; so does one that was not said again for [`Facts::expiry`]. Only ages are sent, never times; a fact that is
 //! told by several is as old as the oldest word of it. Ages leave out the time on the way.
 //!
-//! Whatever others say, an owner has at most [`OWNED`] facts, [`MAX_FACT_BYTES`] each.
+//! Whatever others say, an owner has at most [`MAX_FACTS_PER_OWNER`] facts, [`MAX_FACT_BYTES`] each.
 
 mod compare;
 mod spread;
@@ -36,13 +36,13 @@
 use crate::wire::MAX_INCARNATION;
 
 /// How many facts of one owner are held at most, those taken back included.
-pub const OWNED: usize = 96;
+pub const MAX_FACTS_PER_OWNER: usize = 96;
 
 /// How many members are told facts in a period: one datagram each.
 pub const FANOUT: usize = 4;
 
 /// How many datagrams of facts a member tells by comparisons in a period at most.
-pub const ANSWERED: usize = 8;
+pub const MAX_SYNC_DATAGRAMS: usize = 8;
 
 /// The highest version. An owner that says a thousand facts a second gets there in 24 days; it then starts anew as a
 /// newer incarnation would. A higher one is absurd.
@@ -52,7 +52,7 @@
 const HIGHEST_AGE: u32 = 1 << 24;
 
 /// Whether a kind is said anew all the time, so that a lost one matters little.
-pub fn frequent(kind: FactKind) -> bool {
+pub fn is_frequent(kind: FactKind) -> bool {
     matches!(kind, FactKind::LOAD | FactKind::LOAD_REPORT | FactKind::SHEDDING_LEVEL)
 }
 
@@ -87,7 +87,7 @@
 impl Held {
     /// Its turn at a member, if it is still told.
     fn turn(&self, me: MemberId, place: Place) -> Option<Turn> {
-        let own = place.owner == me && frequent(place.kind);
+        let own = place.owner == me && is_frequent(place.kind);
         let rank = |told: u8| if own { 0 } else { told.saturating_add(1) };
         self.told.map(|told| (rank(told), Reverse(self.said), place))
     }
@@ -95,7 +95,7 @@
 
 /// A fact as it is sent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stamped {
+pub struct StampedFact {
     /// Whose it is.
     pub owner: MemberId,
     /// The incarnation of the owner's process.
@@ -110,7 +110,7 @@
 
 /// What changed for this member by what it heard.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct News {
+pub struct FactChange {
     /// Whose fact.
     pub owner: MemberId,
     /// The fact; with an empty body it ended.
@@ -131,7 +131,7 @@
     owners: Vec<Owner>,
     rare: BTreeSet<Turn>,
     often: BTreeSet<Turn>,
-    news: Vec<News>,
+    news: Vec<FactChange>,
     /// When own rare facts are said again, and expired ones are looked for.
     again: Millis,
     sweep: Millis,
@@ -170,42 +170,42 @@
             again: 0,
             sweep: now,
             refused: 0,
-            answers: ANSWERED,
+            answers: MAX_SYNC_DATAGRAMS,
             rng: Pcg64Mcg::seed_from_u64(seed),
         };
-        facts.again = now.saturating_add(facts.interval());
+        facts.again = now.saturating_add(facts.republish_interval());
         facts
     }
 
     /// How often a member passes a fact on: 2 and half the logarithm of the fleet. With fewer than all reached by that,
     /// comparisons bring it to the rest.
-    pub fn tells(&self) -> u8 {
+    pub fn max_transmissions(&self) -> u8 {
         let doublings = usize::BITS - self.owners.len().leading_zeros();
         2 + u8::try_from(doublings / 2).unwrap_or(u8::MAX / 2)
     }
 
     /// How often a member says its rare facts again, in milliseconds: as much longer as there are more members, so that
     /// all together say as many in a second whatever the fleet.
-    pub fn interval(&self) -> Millis {
+    pub fn republish_interval(&self) -> Millis {
         self.period.saturating_mul(50 + 4 * self.owners.len() as u64).min(u64::from(HIGHEST_AGE) / 4)
     }
 
     /// How old a fact becomes, in milliseconds.
     pub fn expiry(&self, kind: FactKind) -> Millis {
-        match frequent(kind) {
+        match is_frequent(kind) {
             true => self.period.saturating_mul(15),
-            false => self.interval().saturating_mul(4),
+            false => self.republish_interval().saturating_mul(4),
         }
     }
 
     /// Facts that were not taken: of nobody configured, too long, too many, absurd.
-    pub fn refused(&self) -> u64 {
+    pub fn rejected(&self) -> u64 {
         self.refused
     }
 
     /// Says a fact of this member's own; one with an empty body takes it back. False: it is too long, or there are too many
     /// already.
-    pub fn put(&mut self, now: Millis, fact: Fact) -> bool {
+    pub fn publish(&mut self, now: Millis, fact: Fact) -> bool {
         let place = Place { kind: fact.kind, owner: self.me, key: fact.key };
         let held = self.held.get(&place);
         if held.is_none() && fact.body.is_empty() {
@@ -213,12 +213,13 @@
         }
         // What is the same already is said again by and by.
         if held.is_some_and(|held| held.body == fact.body)
-            && !frequent(fact.kind)
+            && !is_frequent(fact.kind)
             && fact.kind != FactKind::EJECTION_PROBE
         {
             return true;
         }
-        let many = self.owners.get(usize::from(self.me.0)).is_none_or(|owner| owner.held >= OWNED);
+        let many =
+            self.owners.get(usize::from(self.me.0)).is_none_or(|owner| owner.held >= MAX_FACTS_PER_OWNER);
         if fact.body.len() > MAX_FACT_BYTES || (held.is_none() && many) {
             self.refused += 1;
             return false;
@@ -237,7 +238,11 @@
     }
 
     /// All facts of a kind: owner, key, body and age in milliseconds.
-    pub fn of(&self, now: Millis, kind: FactKind) -> impl Iterator<Item = (MemberId, u64, &[u8], Millis)> {
+    pub fn of_kind(
+        &self,
+        now: Millis,
+        kind: FactKind,
+    ) -> impl Iterator<Item = (MemberId, u64, &[u8], Millis)> {
         let first = Place { kind, owner: MemberId(0), key: 0 };
         let last = Place { kind, owner: MemberId(u16::MAX), key: u64::MAX };
         let expiry = self.expiry(kind);
@@ -267,23 +272,23 @@
     }
 
     /// What changed by what was heard, since the last time.
-    pub fn news(&mut self) -> Vec<News> {
+    pub fn take_changes(&mut self) -> Vec<FactChange> {
         std::mem::take(&mut self.news)
     }
 
     /// Takes in a part of facts. False: it is malformed, and those before the fault are taken.
-    pub fn heard(&mut self, now: Millis, mut part: &[u8]) -> bool {
+    pub fn receive(&mut self, now: Millis, mut part: &[u8]) -> bool {
         while !part.is_empty() {
-            let Ok((stamped, rest)) = postcard::take_from_bytes::<Stamped>(part) else { return false };
-            self.take(now, stamped);
+            let Ok((stamped, rest)) = postcard::take_from_bytes::<StampedFact>(part) else { return false };
+            self.merge(now, stamped);
             part = rest;
         }
         true
     }
 
     /// Takes in one fact.
-    pub fn take(&mut self, now: Millis, stamped: Stamped) {
-        let Stamped { owner, incarnation, version, age: old, fact } = stamped;
+    pub fn merge(&mut self, now: Millis, stamped: StampedFact) {
+        let StampedFact { owner, incarnation, version, age: old, fact } = stamped;
         let place = Place { kind: fact.kind, owner, key: fact.key };
         let absurd = incarnation > MAX_INCARNATION
             || version > HIGHEST_VERSION
@@ -301,13 +306,13 @@
             return;
         }
         if incarnation > known.incarnation {
-            self.alive(owner, incarnation);
+            self.mark_alive(owner, incarnation);
         }
         let said = signed(now) - i64::from(old);
         if u64::from(old) > self.expiry(fact.kind) {
             return;
         }
-        let most = self.tells();
+        let most = self.max_transmissions();
         match self.held.get_mut(&place) {
             Some(held) if version < held.version => return,
             Some(held) if version == held.version => {
@@ -316,7 +321,7 @@
                 let before = held.turn(self.me, place);
                 held.said = held.said.min(said);
                 held.told = held.told.map(|told| told + 1).filter(|told| *told < most);
-                let queue = if frequent(place.kind) { &mut self.often } else { &mut self.rare };
+                let queue = if is_frequent(place.kind) { &mut self.often } else { &mut self.rare };
                 if let Some(before) = before {
                     queue.remove(&before);
                     queue.extend(held.turn(self.me, place));
@@ -324,7 +329,11 @@
                 return;
             }
             Some(_) => {}
-            None if self.owners.get(usize::from(owner.0)).is_none_or(|owner| owner.held >= OWNED) => {
+            None if self
+                .owners
+                .get(usize::from(owner.0))
+                .is_none_or(|owner| owner.held >= MAX_FACTS_PER_OWNER) =>
+            {
                 self.refused += 1;
                 return;
             }
@@ -332,17 +341,20 @@
         }
         let changed = self.held.get(&place).map_or(!fact.body.is_empty(), |held| held.body != fact.body);
         // What is only said again need not be told as often.
-        let told =
-            Some(if changed || momentary(fact.kind) || frequent(fact.kind) { 0 } else { self.tells() - 2 });
+        let told = Some(if changed || momentary(fact.kind) || is_frequent(fact.kind) {
+            0
+        } else {
+            self.max_transmissions() - 2
+        });
         self.insert(place, Held { incarnation, version, body: fact.body.clone(), said, told });
         // A frequent fact matters for being new, and one of a trial for its time.
-        if changed || frequent(fact.kind) || momentary(fact.kind) {
-            self.news.push(News { owner, fact, age: u64::from(old) });
+        if changed || is_frequent(fact.kind) || momentary(fact.kind) {
+            self.news.push(FactChange { owner, fact, age: u64::from(old) });
         }
     }
 
     /// Takes in that a process of a member lives: what its former self said ends.
-    pub fn alive(&mut self, owner: MemberId, incarnation: u64) {
+    pub fn mark_alive(&mut self, owner: MemberId, incarnation: u64) {
         let Some(known) = self.owners.get_mut(usize::from(owner.0)) else { return };
         if owner == self.me || incarnation < known.incarnation {
             return;
@@ -357,7 +369,7 @@
     }
 
     /// Takes in that a member is gone: what it said ends.
-    pub fn gone(&mut self, owner: MemberId) {
+    pub fn mark_gone(&mut self, owner: MemberId) {
         if owner != self.me
             && let Some(known) = self.owners.get_mut(usize::from(owner.0))
         {
@@ -373,7 +385,7 @@
             owner.held += 1;
             owner.digest ^= mark(place, &held);
         }
-        let queue = if frequent(place.kind) { &mut self.often } else { &mut self.rare };
+        let queue = if is_frequent(place.kind) { &mut self.often } else { &mut self.rare };
         queue.extend(held.turn(self.me, place));
         self.held.insert(place, held);
     }
@@ -385,7 +397,7 @@
             owner.digest ^= mark(place, &held);
         }
         if let Some(turn) = held.turn(self.me, place) {
-            let queue = if frequent(place.kind) { &mut self.often } else { &mut self.rare };
+            let queue = if is_frequent(place.kind) { &mut self.often } else { &mut self.rare };
             queue.remove(&turn);
         }
         Some(held)
@@ -410,7 +422,7 @@
             let Some(held) = self.remove(place) else { continue };
             if !held.body.is_empty() && place.owner != self.me {
                 let fact = Fact { kind: place.kind, key: place.key, body: Vec::new() };
-                self.news.push(News { owner: place.owner, fact, age: 0 });
+                self.news.push(FactChange { owner: place.owner, fact, age: 0 });
             }
         }
     }
@@ -420,12 +432,12 @@
     let age = u32::try_from(age(now, held.said)).unwrap_or(u32::MAX).min(HIGHEST_AGE);
     let fact = Fact { kind: place.kind, key: place.key, body: held.body.clone() };
     let Held { incarnation, version, .. } = *held;
-    postcard::to_allocvec(&Stamped { owner: place.owner, incarnation, version, age, fact }).ok()
+    postcard::to_allocvec(&StampedFact { owner: place.owner, incarnation, version, age, fact }).ok()
 }
 
 /// What a rare fact adds to its owner's digest; frequent ones are not compared.
 fn mark(place: Place, held: &Held) -> u32 {
-    if frequent(place.kind) {
+    if is_frequent(place.kind) {
         return 0;
     }
     let mut hasher = fnv::FnvHasher::default();
--- a/crates/peers/src/facts/spread.rs
+++ b/crates/peers/src/facts/spread.rs
@@ -2,15 +2,15 @@
 
 use rand::RngExt;
 
-use super::{ANSWERED, FANOUT, Facts, Held, Place, age, encode, frequent, momentary, signed};
+use super::{FANOUT, Facts, Held, MAX_SYNC_DATAGRAMS, Place, age, encode, is_frequent, momentary, signed};
 use crate::api::{FactKind, MemberId, Millis};
 use crate::wire::{MAX_PART_BYTES, Outbox, PartKind};
 
 impl Facts {
     /// Tells some of the living what is new, compares with one, says own facts again and lets old ones end.
-    pub fn every_period(&mut self, now: Millis, living: &[MemberId], out: &mut Outbox) {
+    pub fn on_period(&mut self, now: Millis, living: &[MemberId], out: &mut Outbox) {
         if now >= self.again {
-            self.again = now.saturating_add(self.interval());
+            self.again = now.saturating_add(self.republish_interval());
             self.say_again(now);
         }
         if now >= self.sweep {
@@ -18,16 +18,17 @@
             let (often, rare) = (self.expiry(FactKind::LOAD), self.expiry(FactKind::REACHABILITY));
             // What is taken back of one's own may be forgotten, what stands is said again.
             let stands = |place: &Place, held: &Held| {
-                place.owner == self.me && !held.body.is_empty() && !frequent(place.kind)
+                place.owner == self.me && !held.body.is_empty() && !is_frequent(place.kind)
             };
             let over = |place: &Place, held: &Held| {
-                age(now, held.said) > if frequent(place.kind) { often } else { rare } && !stands(place, held)
+                age(now, held.said) > if is_frequent(place.kind) { often } else { rare }
+                    && !stands(place, held)
             };
             let ended: Vec<Place> =
                 self.held.iter().filter(|(place, held)| over(place, held)).map(|(place, _)| *place).collect();
             self.end(ended.into_iter());
         }
-        self.answers = ANSWERED;
+        self.answers = MAX_SYNC_DATAGRAMS;
         let others = self.choose(living, FANOUT + 1);
         for (nth, &to) in others.iter().take(FANOUT).enumerate() {
             let part = self.part(now, to, nth + 1 == FANOUT.min(others.len()) && nth > 0);
@@ -82,10 +83,10 @@
                 told.push(*turn);
             }
         }
-        let most = self.tells();
+        let most = self.max_transmissions();
         for turn in told {
             let place = turn.2;
-            let queue = if frequent(place.kind) { &mut self.often } else { &mut self.rare };
+            let queue = if is_frequent(place.kind) { &mut self.often } else { &mut self.rare };
             queue.remove(&turn);
             if let Some(held) = self.held.get_mut(&place) {
                 held.told = held.told.map(|told| told + 1).filter(|told| *told < most);
@@ -102,7 +103,7 @@
             .iter()
             .filter(|(place, held)| {
                 place.owner == self.me
-                    && !frequent(place.kind)
+                    && !is_frequent(place.kind)
                     && !momentary(place.kind)
                     && !held.body.is_empty()
             })
--- a/crates/peers/src/peer.rs
+++ b/crates/peers/src/peer.rs
@@ -13,7 +13,7 @@
 };
 use crate::config::{ConfigError, validate};
 use crate::coordinator::{self, Coordinator};
-use crate::facts::{Facts, News};
+use crate::facts::{FactChange, Facts};
 use crate::incarnation_claims::IncarnationClaims;
 use crate::leases::{LeaseTable, SharedLimit};
 use crate::membership::Membership;
@@ -172,7 +172,7 @@
             term: self.coordinator.term(),
             level: self.overload.level(),
             stale_rejected: self.coordinator.stale_rejected(),
-            rejected_facts: self.facts.refused(),
+            rejected_facts: self.facts.rejected(),
             facts: self.facts.len(),
             datagrams_in: self.datagrams_in,
             datagrams_out: self.datagrams_out,
@@ -252,8 +252,8 @@
             PartKind::SUSPICION => self.membership.handle_suspicion(now, from, part, outbox),
             PartKind::MEMBER_DIGEST => self.membership.handle_digest(from, part, outbox),
             PartKind::MEMBER_STATES => self.membership.handle_states(now, part, outbox),
-            PartKind::FACTS => self.facts.heard(now, part),
-            PartKind::FACT_SYNC => self.facts.compared(now, from, part, outbox),
+            PartKind::FACTS => self.facts.receive(now, part),
+            PartKind::FACT_SYNC => self.facts.handle_sync(now, from, part, outbox),
             PartKind::LEASE => self.leases.handle_message(now, from, incarnation, part, outbox),
             PartKind::COORDINATOR => {
                 let Ok(message) = postcard::from_bytes(part) else { return false };
@@ -350,7 +350,7 @@
         }
         outputs.push(Output::Guidance(guidance));
         self.membership.on_period(now, outbox);
-        self.facts.every_period(now, self.membership.living(), outbox);
+        self.facts.on_period(now, self.membership.living(), outbox);
         self.leases.on_period(now, self.membership.living(), outbox);
     }
 
@@ -370,21 +370,21 @@
     fn apply_changes(&mut self, now: Millis, outbox: &mut Outbox, outputs: &mut Vec<Output>) {
         for change in self.membership.take_changes() {
             if change.alive {
-                self.facts.alive(change.member, change.incarnation);
+                self.facts.mark_alive(change.member, change.incarnation);
             } else {
-                self.facts.gone(change.member);
+                self.facts.mark_gone(change.member);
             }
             let liveness = coordinator::Input::Liveness { member: change.member, alive: change.alive };
             self.run_coordinator(now, liveness, outbox, outputs);
         }
-        for news in self.facts.news() {
+        for news in self.facts.take_changes() {
             self.handle_fact(now, news, outbox, outputs);
         }
     }
 
     /// Passes on a fact of another member. An empty body means that the fact was withdrawn or has expired.
-    fn handle_fact(&mut self, now: Millis, news: News, outbox: &mut Outbox, outputs: &mut Vec<Output>) {
-        let News { owner, fact, age } = news;
+    fn handle_fact(&mut self, now: Millis, news: FactChange, outbox: &mut Outbox, outputs: &mut Vec<Output>) {
+        let FactChange { owner, fact, age } = news;
         let (withdrawn, server) = (fact.body.is_empty(), ServerKey(fact.key));
         match fact.kind {
             FactKind::REACHABILITY => {
@@ -554,7 +554,7 @@
     /// Publishes facts of this member.
     fn publish(&mut self, now: Millis, facts: impl IntoIterator<Item = Fact>) {
         for fact in facts {
-            self.facts.put(now, fact);
+            self.facts.publish(now, fact);
         }
     }
 
--- a/crates/peers/tests/fleet/hostile.rs
+++ b/crates/peers/tests/fleet/hostile.rs
@@ -1,7 +1,7 @@
 //! Tests that malformed, foreign or outdated input neither stops a member nor corrupts its state.
 
 use peers::api::{Fact, FactKind, Input, MemberId, Output};
-use peers::facts::{Facts, OWNED, Stamped};
+use peers::facts::{Facts, MAX_FACTS_PER_OWNER, StampedFact};
 use peers::wire::{self, DatagramHeader, Outbox, PartKind};
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -69,9 +69,9 @@
 }
 
 /// A `RULES` fact of member 1, as another member sends it, with an age of 10 ms.
-fn stamped_fact(incarnation: u64, version: u32, key: u64, body: &[u8]) -> Stamped {
+fn stamped_fact(incarnation: u64, version: u32, key: u64, body: &[u8]) -> StampedFact {
     let fact = Fact { kind: FactKind::RESIDENCY_RULES, key, body: body.to_vec() };
-    Stamped { owner: MemberId(1), incarnation, version, age: 10, fact }
+    StampedFact { owner: MemberId(1), incarnation, version, age: 10, fact }
 }
 
 /// The highest incarnation wins, and within one incarnation the highest version. An older version does not
@@ -80,7 +80,7 @@
 fn an_older_fact_never_replaces_a_newer_one() {
     let mut facts = Facts::new(&config(5, 0), 1_000, 1, 1);
     let value_after = |facts: &mut Facts, stamped| {
-        facts.take(1_000, stamped);
+        facts.merge(1_000, stamped);
         facts.get(1_000, MemberId(1), FactKind::RESIDENCY_RULES, 1).map(|(body, age)| (body.to_vec(), age))
     };
     assert_eq!(value_after(&mut facts, stamped_fact(5, 7, 1, b"b")), Some((b"b".to_vec(), 10)));
@@ -98,32 +98,32 @@
     );
     assert_eq!(value_after(&mut facts, stamped_fact(6, 3, 1, b"")), None);
     assert_eq!(value_after(&mut facts, stamped_fact(6, 2, 1, b"c")), None, "it was withdrawn");
-    facts.gone(MemberId(1));
+    facts.mark_gone(MemberId(1));
     assert_eq!(value_after(&mut facts, stamped_fact(6, 4, 1, b"d")), None, "its owner is gone");
-    facts.alive(MemberId(1), 6);
+    facts.mark_alive(MemberId(1), 6);
     assert_eq!(
         value_after(&mut facts, stamped_fact(6, 4, 1, b"d")).map(|(body, _)| body),
         Some(b"d".to_vec())
     );
 }
 
-/// A member holds at most [`OWNED`] facts of each owner, itself included, and refuses facts with values out
-/// of range.
+/// A member holds at most [`MAX_FACTS_PER_OWNER`] facts of each owner, itself included, and refuses facts
+/// with values out of range.
 #[test]
 fn one_owner_cannot_exceed_its_fact_limit() {
     let mut facts = Facts::new(&config(5, 0), 1_000, 1, 1);
-    (0..1_000).for_each(|key| facts.take(1_000, stamped_fact(1, 1 + key as u32, key, b"x")));
-    assert_eq!((facts.len(), facts.refused()), (OWNED, 1_000 - OWNED as u64));
+    (0..1_000).for_each(|key| facts.merge(1_000, stamped_fact(1, 1 + key as u32, key, b"x")));
+    assert_eq!((facts.len(), facts.rejected()), (MAX_FACTS_PER_OWNER, 1_000 - MAX_FACTS_PER_OWNER as u64));
     let own_fact = |key| Fact { kind: FactKind::RESIDENCY_RULES, key, body: vec![1] };
-    assert_eq!((0..1_000).filter(|key| facts.put(1_000, own_fact(*key))).count(), OWNED);
+    assert_eq!((0..1_000).filter(|key| facts.publish(1_000, own_fact(*key))).count(), MAX_FACTS_PER_OWNER);
     let invalid = [
         stamped_fact(1 << 60, 1, 1, b"x"),
         stamped_fact(1, u32::MAX, 1, b"x"),
-        Stamped { age: u32::MAX, ..stamped_fact(1, 1, 1, b"x") },
-        Stamped { owner: MemberId(77), ..stamped_fact(1, 1, 1, b"x") },
+        StampedFact { age: u32::MAX, ..stamped_fact(1, 1, 1, b"x") },
+        StampedFact { owner: MemberId(77), ..stamped_fact(1, 1, 1, b"x") },
         stamped_fact(1, 5_000, 1, &[0; 161]),
     ];
-    let (refused_before, fact_count) = (facts.refused(), facts.len());
-    invalid.into_iter().for_each(|stamped| facts.take(1_000, stamped));
-    assert_eq!((facts.refused() - refused_before, facts.len()), (5, fact_count));
+    let (refused_before, fact_count) = (facts.rejected(), facts.len());
+    invalid.into_iter().for_each(|stamped| facts.merge(1_000, stamped));
+    assert_eq!((facts.rejected() - refused_before, facts.len()), (5, fact_count));
 }
--- a/crates/peers/tests/fleet/integration.rs
+++ b/crates/peers/tests/fleet/integration.rs
@@ -196,6 +196,7 @@
         cluster.outputs[*m].iter().any(|o| matches!(o, Output::EjectionProbeEnded { succeeded: true, .. }))
     };
     assert!((0..6).filter(received_result).count() >= 5);
-    let load_facts = cluster.peers[0].as_ref().map(|p| p.facts().of(cluster.now, FactKind::LOAD).count());
+    let load_facts =
+        cluster.peers[0].as_ref().map(|p| p.facts().of_kind(cluster.now, FactKind::LOAD).count());
     assert!(load_facts >= Some(5), "{load_facts:?}");
 }
--- a/crates/peers/tests/fleet/main.rs
+++ b/crates/peers/tests/fleet/main.rs
@@ -167,7 +167,9 @@
     }
     cluster.run(10_000);
     let rules_held = |cluster: &Cluster, member: usize| {
-        cluster.peers[member].as_ref().map(|p| p.facts().of(cluster.now, FactKind::RESIDENCY_RULES).count())
+        cluster.peers[member]
+            .as_ref()
+            .map(|p| p.facts().of_kind(cluster.now, FactKind::RESIDENCY_RULES).count())
     };
     let complete = |member: usize| move |cluster: &Cluster| rules_held(cluster, member) == Some(200);
     assert!((0..20).all(|member| rules_held(&cluster, member) == Some(if member == 4 { 10 } else { 190 })));
