--- a/crates/peers/src/facts/compare.rs
+++ b/crates/peers/src/facts/compare.rs
@@ -5,135 +5,141 @@
 use rand::RngExt;
 use serde::{Deserialize, Serialize};
 
-use super::{Facts, Owner, Place, encode, is_frequent};
+use super::{FactId, Facts, OwnerState, encode, is_frequent};
 use crate::api::{MemberId, Millis};
 use crate::wire::{MAX_PART_BYTES, Outbox, PartKind};
 
 /// How many digests stand in one step of a comparison.
-const DIGESTS: u16 = 32;
+const DIGESTS_PER_STEP: u16 = 32;
 
 /// A step of a comparison.
 #[derive(Debug, Serialize, Deserialize)]
-enum Compare {
+enum SyncStep {
     /// Digests of what the owners of places that leave this remainder by [`DIGESTS`] said.
-    Remainders(Vec<u32>),
+    GroupDigests(Vec<u32>),
     /// Digests by owner, for the owners `first`, `first` + 32, `first` + 64 and so on.
-    Owners { first: u16, digests: Vec<u32> },
+    OwnerDigests { first: u16, digests: Vec<u32> },
     /// Tell what is known of these owners.
-    Want(Vec<MemberId>),
+    Request(Vec<MemberId>),
 }
 
 impl Facts {
     /// Begins to compare rare facts with a member.
-    pub(super) fn compare_with(&mut self, to: MemberId, out: &mut Outbox) {
-        let mut digests = vec![0; usize::from(DIGESTS).min(self.owners.len())];
-        for (place, owner) in self.owners.iter().enumerate() {
-            if let Some(digest) = digests.get_mut(place % usize::from(DIGESTS)) {
+    pub(super) fn start_sync(&mut self, to: MemberId, outbox: &mut Outbox) {
+        let mut digests = vec![0; usize::from(DIGESTS_PER_STEP).min(self.owners.len())];
+        for (index, owner) in self.owners.iter().enumerate() {
+            if let Some(digest) = digests.get_mut(index % usize::from(DIGESTS_PER_STEP)) {
                 *digest ^= owner.digest;
             }
         }
-        send(to, &Compare::Remainders(digests), out);
+        send_step(to, &SyncStep::GroupDigests(digests), outbox);
     }
 
     /// Takes in a step of a comparison. False: it is malformed.
-    pub fn handle_sync(&mut self, now: Millis, from: MemberId, part: &[u8], out: &mut Outbox) -> bool {
-        let Ok(step) = postcard::from_bytes::<Compare>(part) else { return false };
+    pub fn handle_sync(&mut self, now: Millis, from: MemberId, part: &[u8], outbox: &mut Outbox) -> bool {
+        let Ok(step) = postcard::from_bytes::<SyncStep>(part) else { return false };
         match step {
-            Compare::Remainders(theirs) => {
-                if theirs.len() != usize::from(DIGESTS).min(self.owners.len()) {
+            SyncStep::GroupDigests(their_digests) => {
+                if their_digests.len() != usize::from(DIGESTS_PER_STEP).min(self.owners.len()) {
                     return false;
                 }
-                let mut differ: Vec<u16> = Vec::new();
-                for (remainder, &digest) in (0..).zip(&theirs) {
-                    if self.owners_from(remainder).fold(0, |all, (_, owner)| all ^ owner.digest) != digest {
-                        differ.push(remainder);
+                let mut differing: Vec<u16> = Vec::new();
+                for (group, &digest) in (0..).zip(&their_digests) {
+                    if self.owners_in_group(group).fold(0, |combined, (_, owner)| combined ^ owner.digest)
+                        != digest
+                    {
+                        differing.push(group);
                     }
                 }
                 // As many as hold 32 owners, at least two: the rest have their turn in later periods.
-                let each = self.owners.len().div_ceil(usize::from(DIGESTS));
-                for _ in 0..(usize::from(DIGESTS) / each).max(2).min(differ.len()) {
-                    let remainder = differ.swap_remove(self.rng.random_range(0..differ.len()));
-                    let all = self.owners_from(remainder).count();
-                    let rows = all.div_ceil(usize::from(DIGESTS));
-                    let skip = self.rng.random_range(0..rows.max(1)) * usize::from(DIGESTS);
-                    let some: Vec<(u16, Owner)> =
-                        self.owners_from(remainder).skip(skip).take(usize::from(DIGESTS)).collect();
-                    if let Some(&(first, _)) = some.first() {
-                        let digests = some.iter().map(|(_, owner)| owner.digest).collect();
-                        send(from, &Compare::Owners { first, digests }, out);
+                let owners_per_group = self.owners.len().div_ceil(usize::from(DIGESTS_PER_STEP));
+                for _ in 0..(usize::from(DIGESTS_PER_STEP) / owners_per_group).max(2).min(differing.len()) {
+                    let group = differing.swap_remove(self.rng.random_range(0..differing.len()));
+                    let owner_count = self.owners_in_group(group).count();
+                    let chunk_count = owner_count.div_ceil(usize::from(DIGESTS_PER_STEP));
+                    let skipped =
+                        self.rng.random_range(0..chunk_count.max(1)) * usize::from(DIGESTS_PER_STEP);
+                    let chunk: Vec<(u16, OwnerState)> = self
+                        .owners_in_group(group)
+                        .skip(skipped)
+                        .take(usize::from(DIGESTS_PER_STEP))
+                        .collect();
+                    if let Some(&(first, _)) = chunk.first() {
+                        let digests = chunk.iter().map(|(_, owner)| owner.digest).collect();
+                        send_step(from, &SyncStep::OwnerDigests { first, digests }, outbox);
                     }
                 }
                 true
             }
-            Compare::Owners { first, digests } => {
-                if digests.len() > usize::from(DIGESTS) {
+            SyncStep::OwnerDigests { first, digests } => {
+                if digests.len() > usize::from(DIGESTS_PER_STEP) {
                     return false;
                 }
-                let differ: Vec<MemberId> = self
-                    .owners_from(first)
+                let differing: Vec<MemberId> = self
+                    .owners_in_group(first)
                     .zip(&digests)
-                    .filter(|((_, mine), theirs)| mine.digest != **theirs && !mine.gone)
+                    .filter(|((_, own), their_digest)| own.digest != **their_digest && !own.gone)
                     .map(|((owner, _), _)| MemberId(owner))
                     .collect();
-                if !differ.is_empty() {
-                    self.answer(now, from, &differ, out);
-                    send(from, &Compare::Want(differ), out);
+                if !differing.is_empty() {
+                    self.send_facts(now, from, &differing, outbox);
+                    send_step(from, &SyncStep::Request(differing), outbox);
                 }
                 true
             }
-            Compare::Want(owners) => {
-                if owners.len() > usize::from(DIGESTS) {
+            SyncStep::Request(owners) => {
+                if owners.len() > usize::from(DIGESTS_PER_STEP) {
                     return false;
                 }
-                self.answer(now, from, &owners, out);
+                self.send_facts(now, from, &owners, outbox);
                 true
             }
         }
     }
 
     /// Tells a member what is held of these owners, beginning anywhere among them: what does not fit is told another time.
-    fn answer(&mut self, now: Millis, to: MemberId, owners: &[MemberId], out: &mut Outbox) {
-        if self.answers == 0 {
+    fn send_facts(&mut self, now: Millis, to: MemberId, owners: &[MemberId], outbox: &mut Outbox) {
+        if self.sync_datagrams_left == 0 {
             return;
         }
         let wanted: BTreeSet<MemberId> = owners.iter().copied().filter(|owner| *owner != to).collect();
-        let all: Vec<Place> = wanted
+        let ids: Vec<FactId> = wanted
             .into_iter()
-            .flat_map(|owner| self.of_owner(owner))
-            .filter(|place| !is_frequent(place.kind))
+            .flat_map(|owner| self.ids_of_owner(owner))
+            .filter(|id| !is_frequent(id.kind))
             .collect();
-        if all.is_empty() {
+        if ids.is_empty() {
             return;
         }
-        let first = self.rng.random_range(0..all.len());
+        let start = self.rng.random_range(0..ids.len());
         let mut part = Vec::new();
-        for place in all.iter().cycle().skip(first).take(all.len()) {
-            let Some(held) = self.held.get(place) else { continue };
-            let Some(bytes) = encode(now, *place, held) else { continue };
+        for id in ids.iter().cycle().skip(start).take(ids.len()) {
+            let Some(stored) = self.stored.get(id) else { continue };
+            let Some(bytes) = encode(now, *id, stored) else { continue };
             if part.len() + bytes.len() > MAX_PART_BYTES {
-                out.push(to, PartKind::FACTS, &std::mem::take(&mut part));
-                self.answers -= 1;
-                if self.answers == 0 {
+                outbox.push(to, PartKind::FACTS, &std::mem::take(&mut part));
+                self.sync_datagrams_left -= 1;
+                if self.sync_datagrams_left == 0 {
                     return;
                 }
             }
             part.extend_from_slice(&bytes);
         }
         if !part.is_empty() {
-            self.answers -= 1;
-            out.push(to, PartKind::FACTS, &part);
+            self.sync_datagrams_left -= 1;
+            outbox.push(to, PartKind::FACTS, &part);
         }
     }
 
-    fn owners_from(&self, first: u16) -> impl Iterator<Item = (u16, Owner)> {
+    fn owners_in_group(&self, first: u16) -> impl Iterator<Item = (u16, OwnerState)> {
         (first..u16::MAX)
-            .step_by(usize::from(DIGESTS))
-            .map_while(|place| self.owners.get(usize::from(place)).map(|owner| (place, *owner)))
+            .step_by(usize::from(DIGESTS_PER_STEP))
+            .map_while(|index| self.owners.get(usize::from(index)).map(|owner| (index, *owner)))
     }
 }
 
-fn send(to: MemberId, step: &Compare, out: &mut Outbox) {
+fn send_step(to: MemberId, step: &SyncStep, outbox: &mut Outbox) {
     if let Ok(body) = postcard::to_allocvec(step) {
-        out.push(to, PartKind::FACT_SYNC, &body);
+        outbox.push(to, PartKind::FACT_SYNC, &body);
     }
 }
--- a/crates/peers/src/facts/mod.rs
+++ b/crates/peers/src/facts/mod.rs
@@ -46,10 +46,10 @@
 
 /// The highest version. An owner that says a thousand facts a second gets there in 24 days; it then starts anew as a
 /// newer incarnation would. A higher one is absurd.
-const HIGHEST_VERSION: u32 = 1 << 31;
+const MAX_VERSION: u32 = 1 << 31;
 
 /// The highest age that is sent, in milliseconds: four and a half hours, beyond any expiry.
-const HIGHEST_AGE: u32 = 1 << 24;
+const MAX_AGE_MS: u32 = 1 << 24;
 
 /// Whether a kind is said anew all the time, so that a lost one matters little.
 pub fn is_frequent(kind: FactKind) -> bool {
@@ -57,13 +57,13 @@
 }
 
 /// Whether a kind tells of a moment, so that its owner does not say it again by itself.
-fn momentary(kind: FactKind) -> bool {
+fn is_event(kind: FactKind) -> bool {
     matches!(kind, FactKind::EJECTION_PROBE | FactKind::SERVER_STATE)
 }
 
 /// What a fact is found by: in this order all of a kind stand together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
+struct FactId {
     kind: FactKind,
     owner: MemberId,
     key: u64,
@@ -71,25 +71,25 @@
 
 /// Where a fact waits to be told: frequent ones of this member's own first, so that what others hold is a fair sample
 /// of members; then by how often it was told, the youngest first.
-type Turn = (u8, Reverse<i64>, Place);
+type QueueEntry = (u8, Reverse<i64>, FactId);
 
 #[derive(Debug)]
-struct Held {
+struct StoredFact {
     incarnation: u64,
     version: u32,
     body: Vec<u8>,
     /// When its owner said it, by this member's clock, which may have stood below zero then.
-    said: i64,
+    published_at: i64,
     /// How often it was told, while it is still told.
-    told: Option<u8>,
+    transmissions: Option<u8>,
 }
 
-impl Held {
+impl StoredFact {
     /// Its turn at a member, if it is still told.
-    fn turn(&self, me: MemberId, place: Place) -> Option<Turn> {
-        let own = place.owner == me && is_frequent(place.kind);
-        let rank = |told: u8| if own { 0 } else { told.saturating_add(1) };
-        self.told.map(|told| (rank(told), Reverse(self.said), place))
+    fn queue_entry(&self, me: MemberId, id: FactId) -> Option<QueueEntry> {
+        let own_frequent = id.owner == me && is_frequent(id.kind);
+        let rank = |transmissions: u8| if own_frequent { 0 } else { transmissions.saturating_add(1) };
+        self.transmissions.map(|transmissions| (rank(transmissions), Reverse(self.published_at), id))
     }
 }
 
@@ -126,25 +126,25 @@
     incarnation: u64,
     version: u32,
     period: Millis,
-    held: BTreeMap<Place, Held>,
+    stored: BTreeMap<FactId, StoredFact>,
     /// By owner: the newest incarnation that is known, how many facts are held, and the digest of the rare ones.
-    owners: Vec<Owner>,
-    rare: BTreeSet<Turn>,
-    often: BTreeSet<Turn>,
-    news: Vec<FactChange>,
+    owners: Vec<OwnerState>,
+    rare_queue: BTreeSet<QueueEntry>,
+    frequent_queue: BTreeSet<QueueEntry>,
+    changes: Vec<FactChange>,
     /// When own rare facts are said again, and expired ones are looked for.
-    again: Millis,
-    sweep: Millis,
-    refused: u64,
+    next_republish: Millis,
+    next_expiry_check: Millis,
+    rejected: u64,
     /// How many datagrams may be answered until the next period.
-    answers: usize,
+    sync_datagrams_left: usize,
     rng: Pcg64Mcg,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Owner {
+struct OwnerState {
     incarnation: u64,
-    held: usize,
+    fact_count: usize,
     digest: u32,
     /// It is gone: what others still say of it is not taken.
     gone: bool,
@@ -153,27 +153,27 @@
 impl Facts {
     /// No facts yet, at a process that started with this incarnation.
     pub fn new(config: &Config, now: Millis, incarnation: u64, seed: u64) -> Facts {
-        let mut owners = vec![Owner::default(); config.members.len()];
-        if let Some(mine) = owners.get_mut(usize::from(config.me.0)) {
-            mine.incarnation = incarnation;
+        let mut owners = vec![OwnerState::default(); config.members.len()];
+        if let Some(own) = owners.get_mut(usize::from(config.me.0)) {
+            own.incarnation = incarnation;
         }
         let mut facts = Facts {
             me: config.me,
             incarnation,
             version: 0,
             period: config.timing.period.max(1),
-            held: BTreeMap::new(),
+            stored: BTreeMap::new(),
             owners,
-            rare: BTreeSet::new(),
-            often: BTreeSet::new(),
-            news: Vec::new(),
-            again: 0,
-            sweep: now,
-            refused: 0,
-            answers: MAX_SYNC_DATAGRAMS,
+            rare_queue: BTreeSet::new(),
+            frequent_queue: BTreeSet::new(),
+            changes: Vec::new(),
+            next_republish: 0,
+            next_expiry_check: now,
+            rejected: 0,
+            sync_datagrams_left: MAX_SYNC_DATAGRAMS,
             rng: Pcg64Mcg::seed_from_u64(seed),
         };
-        facts.again = now.saturating_add(facts.republish_interval());
+        facts.next_republish = now.saturating_add(facts.republish_interval());
         facts
     }
 
@@ -187,7 +187,7 @@
     /// How often a member says its rare facts again, in milliseconds: as much longer as there are more members, so that
     /// all together say as many in a second whatever the fleet.
     pub fn republish_interval(&self) -> Millis {
-        self.period.saturating_mul(50 + 4 * self.owners.len() as u64).min(u64::from(HIGHEST_AGE) / 4)
+        self.period.saturating_mul(50 + 4 * self.owners.len() as u64).min(u64::from(MAX_AGE_MS) / 4)
     }
 
     /// How old a fact becomes, in milliseconds.
@@ -200,41 +200,52 @@
 
     /// Facts that were not taken: of nobody configured, too long, too many, absurd.
     pub fn rejected(&self) -> u64 {
-        self.refused
+        self.rejected
     }
 
     /// Says a fact of this member's own; one with an empty body takes it back. False: it is too long, or there are too many
     /// already.
     pub fn publish(&mut self, now: Millis, fact: Fact) -> bool {
-        let place = Place { kind: fact.kind, owner: self.me, key: fact.key };
-        let held = self.held.get(&place);
-        if held.is_none() && fact.body.is_empty() {
+        let id = FactId { kind: fact.kind, owner: self.me, key: fact.key };
+        let stored = self.stored.get(&id);
+        if stored.is_none() && fact.body.is_empty() {
             return true;
         }
         // What is the same already is said again by and by.
-        if held.is_some_and(|held| held.body == fact.body)
+        if stored.is_some_and(|stored| stored.body == fact.body)
             && !is_frequent(fact.kind)
             && fact.kind != FactKind::EJECTION_PROBE
         {
             return true;
         }
-        let many =
-            self.owners.get(usize::from(self.me.0)).is_none_or(|owner| owner.held >= MAX_FACTS_PER_OWNER);
-        if fact.body.len() > MAX_FACT_BYTES || (held.is_none() && many) {
-            self.refused += 1;
+        let at_limit = self
+            .owners
+            .get(usize::from(self.me.0))
+            .is_none_or(|owner| owner.fact_count >= MAX_FACTS_PER_OWNER);
+        if fact.body.len() > MAX_FACT_BYTES || (stored.is_none() && at_limit) {
+            self.rejected += 1;
             return false;
         }
         self.version = self.version.saturating_add(1);
         let (incarnation, version) = (self.incarnation, self.version);
-        self.insert(place, Held { incarnation, version, body: fact.body, said: signed(now), told: Some(0) });
+        self.insert(
+            id,
+            StoredFact {
+                incarnation,
+                version,
+                body: fact.body,
+                published_at: to_signed(now),
+                transmissions: Some(0),
+            },
+        );
         true
     }
 
     /// The body of a fact and its age in milliseconds.
     pub fn get(&self, now: Millis, owner: MemberId, kind: FactKind, key: u64) -> Option<(&[u8], Millis)> {
-        let held = self.held.get(&Place { kind, owner, key })?;
-        let age = age(now, held.said);
-        (!held.body.is_empty() && age <= self.expiry(kind)).then_some((&held.body, age))
+        let stored = self.stored.get(&FactId { kind, owner, key })?;
+        let age = age(now, stored.published_at);
+        (!stored.body.is_empty() && age <= self.expiry(kind)).then_some((&stored.body, age))
     }
 
     /// All facts of a kind: owner, key, body and age in milliseconds.
@@ -243,37 +254,39 @@
         now: Millis,
         kind: FactKind,
     ) -> impl Iterator<Item = (MemberId, u64, &[u8], Millis)> {
-        let first = Place { kind, owner: MemberId(0), key: 0 };
-        let last = Place { kind, owner: MemberId(u16::MAX), key: u64::MAX };
+        let first = FactId { kind, owner: MemberId(0), key: 0 };
+        let last = FactId { kind, owner: MemberId(u16::MAX), key: u64::MAX };
         let expiry = self.expiry(kind);
-        self.held
+        self.stored
             .range(first..=last)
-            .map(move |(place, held)| (place.owner, place.key, held.body.as_slice(), age(now, held.said)))
+            .map(move |(id, stored)| {
+                (id.owner, id.key, stored.body.as_slice(), age(now, stored.published_at))
+            })
             .filter(move |(_, _, body, age)| !body.is_empty() && *age <= expiry)
     }
 
     /// This member's own facts that stand.
     pub fn own(&self) -> Vec<Fact> {
-        self.held
+        self.stored
             .iter()
-            .filter(|(place, held)| place.owner == self.me && !held.body.is_empty())
-            .map(|(place, held)| Fact { kind: place.kind, key: place.key, body: held.body.clone() })
+            .filter(|(id, stored)| id.owner == self.me && !stored.body.is_empty())
+            .map(|(id, stored)| Fact { kind: id.kind, key: id.key, body: stored.body.clone() })
             .collect()
     }
 
     /// How many facts are held.
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.stored.len()
     }
 
     /// Whether none are held.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.stored.is_empty()
     }
 
     /// What changed by what was heard, since the last time.
     pub fn take_changes(&mut self) -> Vec<FactChange> {
-        std::mem::take(&mut self.news)
+        std::mem::take(&mut self.changes)
     }
 
     /// Takes in a part of facts. False: it is malformed, and those before the fault are taken.
@@ -288,43 +301,47 @@
 
     /// Takes in one fact.
     pub fn merge(&mut self, now: Millis, stamped: StampedFact) {
-        let StampedFact { owner, incarnation, version, age: old, fact } = stamped;
-        let place = Place { kind: fact.kind, owner, key: fact.key };
-        let absurd = incarnation > MAX_INCARNATION
-            || version > HIGHEST_VERSION
-            || old > HIGHEST_AGE
+        let StampedFact { owner, incarnation, version, age: age_ms, fact } = stamped;
+        let id = FactId { kind: fact.kind, owner, key: fact.key };
+        let invalid = incarnation > MAX_INCARNATION
+            || version > MAX_VERSION
+            || age_ms > MAX_AGE_MS
             || fact.body.len() > MAX_FACT_BYTES;
-        let Some(known) = self.owners.get(usize::from(owner.0)).filter(|_| !absurd) else {
-            self.refused += 1;
+        let Some(owner_state) = self.owners.get(usize::from(owner.0)).filter(|_| !invalid) else {
+            self.rejected += 1;
             return;
         };
         // Of this member only itself speaks; a former self's words end with it.
         if owner == self.me
-            || incarnation < known.incarnation
-            || (incarnation == known.incarnation && known.gone)
+            || incarnation < owner_state.incarnation
+            || (incarnation == owner_state.incarnation && owner_state.gone)
         {
             return;
         }
-        if incarnation > known.incarnation {
+        if incarnation > owner_state.incarnation {
             self.mark_alive(owner, incarnation);
         }
-        let said = signed(now) - i64::from(old);
-        if u64::from(old) > self.expiry(fact.kind) {
+        let published_at = to_signed(now) - i64::from(age_ms);
+        if u64::from(age_ms) > self.expiry(fact.kind) {
             return;
         }
-        let most = self.max_transmissions();
-        match self.held.get_mut(&place) {
-            Some(held) if version < held.version => return,
-            Some(held) if version == held.version => {
+        let max_transmissions = self.max_transmissions();
+        match self.stored.get_mut(&id) {
+            Some(stored) if version < stored.version => return,
+            Some(stored) if version == stored.version => {
                 // Whoever tells it knows it, and the others likely do: it need not be told so often (Demers and others
                 // 1987). The oldest word of it is nearest to the truth.
-                let before = held.turn(self.me, place);
-                held.said = held.said.min(said);
-                held.told = held.told.map(|told| told + 1).filter(|told| *told < most);
-                let queue = if is_frequent(place.kind) { &mut self.often } else { &mut self.rare };
-                if let Some(before) = before {
-                    queue.remove(&before);
-                    queue.extend(held.turn(self.me, place));
+                let old_entry = stored.queue_entry(self.me, id);
+                stored.published_at = stored.published_at.min(published_at);
+                stored.transmissions = stored
+                    .transmissions
+                    .map(|transmissions| transmissions + 1)
+                    .filter(|transmissions| *transmissions < max_transmissions);
+                let queue =
+                    if is_frequent(id.kind) { &mut self.frequent_queue } else { &mut self.rare_queue };
+                if let Some(old_entry) = old_entry {
+                    queue.remove(&old_entry);
+                    queue.extend(stored.queue_entry(self.me, id));
                 }
                 return;
             }
@@ -332,128 +349,131 @@
             None if self
                 .owners
                 .get(usize::from(owner.0))
-                .is_none_or(|owner| owner.held >= MAX_FACTS_PER_OWNER) =>
+                .is_none_or(|owner| owner.fact_count >= MAX_FACTS_PER_OWNER) =>
             {
-                self.refused += 1;
+                self.rejected += 1;
                 return;
             }
             None => {}
         }
-        let changed = self.held.get(&place).map_or(!fact.body.is_empty(), |held| held.body != fact.body);
+        let changed = self.stored.get(&id).map_or(!fact.body.is_empty(), |stored| stored.body != fact.body);
         // What is only said again need not be told as often.
-        let told = Some(if changed || momentary(fact.kind) || is_frequent(fact.kind) {
+        let transmissions = Some(if changed || is_event(fact.kind) || is_frequent(fact.kind) {
             0
         } else {
             self.max_transmissions() - 2
         });
-        self.insert(place, Held { incarnation, version, body: fact.body.clone(), said, told });
+        self.insert(
+            id,
+            StoredFact { incarnation, version, body: fact.body.clone(), published_at, transmissions },
+        );
         // A frequent fact matters for being new, and one of a trial for its time.
-        if changed || is_frequent(fact.kind) || momentary(fact.kind) {
-            self.news.push(FactChange { owner, fact, age: u64::from(old) });
+        if changed || is_frequent(fact.kind) || is_event(fact.kind) {
+            self.changes.push(FactChange { owner, fact, age: u64::from(age_ms) });
         }
     }
 
     /// Takes in that a process of a member lives: what its former self said ends.
     pub fn mark_alive(&mut self, owner: MemberId, incarnation: u64) {
-        let Some(known) = self.owners.get_mut(usize::from(owner.0)) else { return };
-        if owner == self.me || incarnation < known.incarnation {
+        let Some(owner_state) = self.owners.get_mut(usize::from(owner.0)) else { return };
+        if owner == self.me || incarnation < owner_state.incarnation {
             return;
         }
-        known.gone = false;
-        if incarnation == known.incarnation {
+        owner_state.gone = false;
+        if incarnation == owner_state.incarnation {
             return;
         }
-        known.incarnation = incarnation;
-        let former = self.of_owner(owner);
-        self.end(former.into_iter());
+        owner_state.incarnation = incarnation;
+        let former_ids = self.ids_of_owner(owner);
+        self.remove_all(former_ids.into_iter());
     }
 
     /// Takes in that a member is gone: what it said ends.
     pub fn mark_gone(&mut self, owner: MemberId) {
         if owner != self.me
-            && let Some(known) = self.owners.get_mut(usize::from(owner.0))
+            && let Some(owner_state) = self.owners.get_mut(usize::from(owner.0))
         {
-            known.gone = true;
-            let all = self.of_owner(owner);
-            self.end(all.into_iter());
+            owner_state.gone = true;
+            let ids = self.ids_of_owner(owner);
+            self.remove_all(ids.into_iter());
         }
     }
 
-    fn insert(&mut self, place: Place, held: Held) {
-        self.remove(place);
-        if let Some(owner) = self.owners.get_mut(usize::from(place.owner.0)) {
-            owner.held += 1;
-            owner.digest ^= mark(place, &held);
+    fn insert(&mut self, id: FactId, stored: StoredFact) {
+        self.remove(id);
+        if let Some(owner) = self.owners.get_mut(usize::from(id.owner.0)) {
+            owner.fact_count += 1;
+            owner.digest ^= fact_digest(id, &stored);
         }
-        let queue = if is_frequent(place.kind) { &mut self.often } else { &mut self.rare };
-        queue.extend(held.turn(self.me, place));
-        self.held.insert(place, held);
+        let queue = if is_frequent(id.kind) { &mut self.frequent_queue } else { &mut self.rare_queue };
+        queue.extend(stored.queue_entry(self.me, id));
+        self.stored.insert(id, stored);
     }
 
-    fn remove(&mut self, place: Place) -> Option<Held> {
-        let held = self.held.remove(&place)?;
-        if let Some(owner) = self.owners.get_mut(usize::from(place.owner.0)) {
-            owner.held = owner.held.saturating_sub(1);
-            owner.digest ^= mark(place, &held);
+    fn remove(&mut self, id: FactId) -> Option<StoredFact> {
+        let stored = self.stored.remove(&id)?;
+        if let Some(owner) = self.owners.get_mut(usize::from(id.owner.0)) {
+            owner.fact_count = owner.fact_count.saturating_sub(1);
+            owner.digest ^= fact_digest(id, &stored);
         }
-        if let Some(turn) = held.turn(self.me, place) {
-            let queue = if is_frequent(place.kind) { &mut self.often } else { &mut self.rare };
-            queue.remove(&turn);
+        if let Some(entry) = stored.queue_entry(self.me, id) {
+            let queue = if is_frequent(id.kind) { &mut self.frequent_queue } else { &mut self.rare_queue };
+            queue.remove(&entry);
         }
-        Some(held)
+        Some(stored)
     }
 
     /// The places of all facts of an owner, without going through those of others.
-    fn of_owner(&self, owner: MemberId) -> Vec<Place> {
-        let mut places = Vec::new();
+    fn ids_of_owner(&self, owner: MemberId) -> Vec<FactId> {
+        let mut ids = Vec::new();
         let mut kind = Some(FactKind(0));
         while let Some(first) = kind {
-            let start = Place { kind: first, owner: MemberId(0), key: 0 };
-            let Some((Place { kind: found, .. }, _)) = self.held.range(start..).next() else { break };
-            let of = |key| Place { kind: *found, owner, key };
-            places.extend(self.held.range(of(0)..=of(u64::MAX)).map(|(place, _)| *place));
+            let start = FactId { kind: first, owner: MemberId(0), key: 0 };
+            let Some((FactId { kind: found, .. }, _)) = self.stored.range(start..).next() else { break };
+            let id_with_key = |key| FactId { kind: *found, owner, key };
+            ids.extend(self.stored.range(id_with_key(0)..=id_with_key(u64::MAX)).map(|(id, _)| *id));
             kind = found.0.checked_add(1).map(FactKind);
         }
-        places
+        ids
     }
 
-    fn end(&mut self, ended: impl Iterator<Item = Place>) {
-        for place in ended {
-            let Some(held) = self.remove(place) else { continue };
-            if !held.body.is_empty() && place.owner != self.me {
-                let fact = Fact { kind: place.kind, key: place.key, body: Vec::new() };
-                self.news.push(FactChange { owner: place.owner, fact, age: 0 });
+    fn remove_all(&mut self, ids: impl Iterator<Item = FactId>) {
+        for id in ids {
+            let Some(stored) = self.remove(id) else { continue };
+            if !stored.body.is_empty() && id.owner != self.me {
+                let fact = Fact { kind: id.kind, key: id.key, body: Vec::new() };
+                self.changes.push(FactChange { owner: id.owner, fact, age: 0 });
             }
         }
     }
 }
 
-fn encode(now: Millis, place: Place, held: &Held) -> Option<Vec<u8>> {
-    let age = u32::try_from(age(now, held.said)).unwrap_or(u32::MAX).min(HIGHEST_AGE);
-    let fact = Fact { kind: place.kind, key: place.key, body: held.body.clone() };
-    let Held { incarnation, version, .. } = *held;
-    postcard::to_allocvec(&StampedFact { owner: place.owner, incarnation, version, age, fact }).ok()
+fn encode(now: Millis, id: FactId, stored: &StoredFact) -> Option<Vec<u8>> {
+    let age = u32::try_from(age(now, stored.published_at)).unwrap_or(u32::MAX).min(MAX_AGE_MS);
+    let fact = Fact { kind: id.kind, key: id.key, body: stored.body.clone() };
+    let StoredFact { incarnation, version, .. } = *stored;
+    postcard::to_allocvec(&StampedFact { owner: id.owner, incarnation, version, age, fact }).ok()
 }
 
 /// What a rare fact adds to its owner's digest; frequent ones are not compared.
-fn mark(place: Place, held: &Held) -> u32 {
-    if is_frequent(place.kind) {
+fn fact_digest(id: FactId, stored: &StoredFact) -> u32 {
+    if is_frequent(id.kind) {
         return 0;
     }
     let mut hasher = fnv::FnvHasher::default();
-    hasher.write_u8(place.kind.0);
-    hasher.write_u64(place.key);
-    hasher.write_u16(place.owner.0);
-    hasher.write_u64(held.incarnation);
-    hasher.write_u32(held.version);
-    let whole = hasher.finish();
-    (whole >> 32) as u32 ^ whole as u32
+    hasher.write_u8(id.kind.0);
+    hasher.write_u64(id.key);
+    hasher.write_u16(id.owner.0);
+    hasher.write_u64(stored.incarnation);
+    hasher.write_u32(stored.version);
+    let hash = hasher.finish();
+    (hash >> 32) as u32 ^ hash as u32
 }
 
-fn signed(now: Millis) -> i64 {
+fn to_signed(now: Millis) -> i64 {
     i64::try_from(now).unwrap_or(i64::MAX)
 }
 
-fn age(now: Millis, said: i64) -> Millis {
-    u64::try_from(signed(now).saturating_sub(said)).unwrap_or(0)
+fn age(now: Millis, published_at: i64) -> Millis {
+    u64::try_from(to_signed(now).saturating_sub(published_at)).unwrap_or(0)
 }
--- a/crates/peers/src/facts/spread.rs
+++ b/crates/peers/src/facts/spread.rs
@@ -2,50 +2,54 @@
 
 use rand::RngExt;
 
-use super::{FANOUT, Facts, Held, MAX_SYNC_DATAGRAMS, Place, age, encode, is_frequent, momentary, signed};
+use super::{
+    FANOUT, FactId, Facts, MAX_SYNC_DATAGRAMS, StoredFact, age, encode, is_event, is_frequent, to_signed,
+};
 use crate::api::{FactKind, MemberId, Millis};
 use crate::wire::{MAX_PART_BYTES, Outbox, PartKind};
 
 impl Facts {
     /// Tells some of the living what is new, compares with one, says own facts again and lets old ones end.
-    pub fn on_period(&mut self, now: Millis, living: &[MemberId], out: &mut Outbox) {
-        if now >= self.again {
-            self.again = now.saturating_add(self.republish_interval());
-            self.say_again(now);
+    pub fn on_period(&mut self, now: Millis, living: &[MemberId], outbox: &mut Outbox) {
+        if now >= self.next_republish {
+            self.next_republish = now.saturating_add(self.republish_interval());
+            self.republish(now);
         }
-        if now >= self.sweep {
-            self.sweep = now.saturating_add(self.period.saturating_mul(5));
-            let (often, rare) = (self.expiry(FactKind::LOAD), self.expiry(FactKind::REACHABILITY));
+        if now >= self.next_expiry_check {
+            self.next_expiry_check = now.saturating_add(self.period.saturating_mul(5));
+            let (frequent_expiry, rare_expiry) =
+                (self.expiry(FactKind::LOAD), self.expiry(FactKind::REACHABILITY));
             // What is taken back of one's own may be forgotten, what stands is said again.
-            let stands = |place: &Place, held: &Held| {
-                place.owner == self.me && !held.body.is_empty() && !is_frequent(place.kind)
+            let is_republished = |id: &FactId, stored: &StoredFact| {
+                id.owner == self.me && !stored.body.is_empty() && !is_frequent(id.kind)
             };
-            let over = |place: &Place, held: &Held| {
-                age(now, held.said) > if is_frequent(place.kind) { often } else { rare }
-                    && !stands(place, held)
+            let is_expired = |id: &FactId, stored: &StoredFact| {
+                age(now, stored.published_at)
+                    > if is_frequent(id.kind) { frequent_expiry } else { rare_expiry }
+                    && !is_republished(id, stored)
             };
-            let ended: Vec<Place> =
-                self.held.iter().filter(|(place, held)| over(place, held)).map(|(place, _)| *place).collect();
-            self.end(ended.into_iter());
+            let expired: Vec<FactId> =
+                self.stored.iter().filter(|(id, stored)| is_expired(id, stored)).map(|(id, _)| *id).collect();
+            self.remove_all(expired.into_iter());
         }
-        self.answers = MAX_SYNC_DATAGRAMS;
-        let others = self.choose(living, FANOUT + 1);
-        for (nth, &to) in others.iter().take(FANOUT).enumerate() {
-            let part = self.part(now, to, nth + 1 == FANOUT.min(others.len()) && nth > 0);
+        self.sync_datagrams_left = MAX_SYNC_DATAGRAMS;
+        let targets = self.choose_targets(living, FANOUT + 1);
+        for (index, &to) in targets.iter().take(FANOUT).enumerate() {
+            let part = self.next_part(now, to, index + 1 == FANOUT.min(targets.len()) && index > 0);
             if !part.is_empty() {
-                out.push(to, PartKind::FACTS, &part);
+                outbox.push(to, PartKind::FACTS, &part);
             }
         }
-        if let Some(&to) = others.last() {
-            self.compare_with(to, out);
+        if let Some(&to) = targets.last() {
+            self.start_sync(to, outbox);
         }
     }
 
     /// Up to so many of the living, without this member, in random order.
-    fn choose(&mut self, living: &[MemberId], count: usize) -> Vec<MemberId> {
+    fn choose_targets(&mut self, living: &[MemberId], count: usize) -> Vec<MemberId> {
         let mut chosen: Vec<MemberId> = Vec::new();
-        let others = living.len().saturating_sub(usize::from(living.contains(&self.me)));
-        while chosen.len() < count.min(others) {
+        let other_count = living.len().saturating_sub(usize::from(living.contains(&self.me)));
+        while chosen.len() < count.min(other_count) {
             let Some(&member) = living.get(self.rng.random_range(0..living.len())) else { break };
             if member != self.me && !chosen.contains(&member) {
                 chosen.push(member);
@@ -55,66 +59,76 @@
     }
 
     /// A datagram's part of facts whose turn it is.
-    fn part(&mut self, now: Millis, to: MemberId, often_first: bool) -> Vec<u8> {
+    fn next_part(&mut self, now: Millis, to: MemberId, frequent_first: bool) -> Vec<u8> {
         let mut part = Vec::new();
-        let mut told = Vec::new();
-        let queues = match often_first {
-            true => [&self.often, &self.rare],
-            false => [&self.rare, &self.often],
+        let mut sent = Vec::new();
+        let queues = match frequent_first {
+            true => [&self.frequent_queue, &self.rare_queue],
+            false => [&self.rare_queue, &self.frequent_queue],
         };
-        'full: for queue in queues {
-            let mut misfits = 0;
-            for turn in queue {
-                if turn.2.owner == to {
+        'queues: for queue in queues {
+            let mut skipped = 0;
+            for entry in queue {
+                if entry.2.owner == to {
                     continue;
                 }
-                let Some(bytes) = self.held.get(&turn.2).and_then(|held| encode(now, turn.2, held)) else {
+                let Some(bytes) = self.stored.get(&entry.2).and_then(|stored| encode(now, entry.2, stored))
+                else {
                     continue;
                 };
                 if part.len() + bytes.len() > MAX_PART_BYTES {
-                    misfits += 1;
+                    skipped += 1;
                     // A shorter one may still fit; not for long.
-                    if misfits > 4 || MAX_PART_BYTES - part.len() < 16 {
-                        continue 'full;
+                    if skipped > 4 || MAX_PART_BYTES - part.len() < 16 {
+                        continue 'queues;
                     }
                     continue;
                 }
                 part.extend_from_slice(&bytes);
-                told.push(*turn);
+                sent.push(*entry);
             }
         }
-        let most = self.max_transmissions();
-        for turn in told {
-            let place = turn.2;
-            let queue = if is_frequent(place.kind) { &mut self.often } else { &mut self.rare };
-            queue.remove(&turn);
-            if let Some(held) = self.held.get_mut(&place) {
-                held.told = held.told.map(|told| told + 1).filter(|told| *told < most);
-                queue.extend(held.turn(self.me, place));
+        let max_transmissions = self.max_transmissions();
+        for entry in sent {
+            let id = entry.2;
+            let queue = if is_frequent(id.kind) { &mut self.frequent_queue } else { &mut self.rare_queue };
+            queue.remove(&entry);
+            if let Some(stored) = self.stored.get_mut(&id) {
+                stored.transmissions = stored
+                    .transmissions
+                    .map(|transmissions| transmissions + 1)
+                    .filter(|transmissions| *transmissions < max_transmissions);
+                queue.extend(stored.queue_entry(self.me, id));
             }
         }
         part
     }
 
     /// Says own rare facts again, as if new; what was taken back is left to expire.
-    fn say_again(&mut self, now: Millis) {
-        let mine: Vec<Place> = self
-            .held
+    fn republish(&mut self, now: Millis) {
+        let own_ids: Vec<FactId> = self
+            .stored
             .iter()
-            .filter(|(place, held)| {
-                place.owner == self.me
-                    && !is_frequent(place.kind)
-                    && !momentary(place.kind)
-                    && !held.body.is_empty()
+            .filter(|(id, stored)| {
+                id.owner == self.me && !is_frequent(id.kind) && !is_event(id.kind) && !stored.body.is_empty()
             })
-            .map(|(place, _)| *place)
+            .map(|(id, _)| *id)
             .collect();
-        for place in mine {
+        for id in own_ids {
             self.version = self.version.saturating_add(1);
-            let Some(held) = self.held.get(&place) else { continue };
-            let body = held.body.clone();
+            let Some(stored) = self.stored.get(&id) else { continue };
+            let body = stored.body.clone();
             let (incarnation, version) = (self.incarnation, self.version);
-            self.insert(place, Held { incarnation, version, body, said: signed(now), told: Some(0) });
+            self.insert(
+                id,
+                StoredFact {
+                    incarnation,
+                    version,
+                    body,
+                    published_at: to_signed(now),
+                    transmissions: Some(0),
+                },
+            );
         }
     }
 }
