--- a/crates/peers/src/facts/mod.rs
+++ b/crates/peers/src/facts/mod.rs
@@ -1,25 +1,33 @@
-//! Small records by owner that reach all members: the newest of an owner, kind and key wins.
+//! Gossip of facts: small records, each published by one member, that reach all members.
 //!
-//! **Which is newer.** An owner stamps each of its facts with the incarnation of its process and a version that grows
-//! with each. The higher pair wins, and of an owner of which a newer incarnation is known nothing older is taken.
+//! A fact is identified by its owner, kind and key. Only its newest version is stored.
 //!
-//! **How they spread.** Each period a member tells [`FANOUT`] random living members a datagram each. Rare kinds go first,
-//! what was told least before the rest, each up to [`Facts::max_transmissions`] times, a number that grows with the logarithm of the
-//! fleet, and less often where others told it too; frequent kinds ([`is_frequent`]) take what room is left, this member's own
-//! first and then the youngest, and the last datagram of a period carries them first. So the traffic of a member is
-//! bounded whatever the fleet, and in a large one what is held of frequent kinds is a random sample of members, the newest
-//! first.
+//! **Versions.** The owner stamps each fact with the incarnation of its process and with a version that
+//! increases with every fact it publishes. The higher pair of incarnation and version wins. Once a member
+//! knows a newer incarnation of an owner, it accepts nothing from older ones.
 //!
-//! **What is missed.** Once a period a member compares its rare facts with one random other: 32 digests of what owners
-//! said, by the owner's place; whoever sees one that differs answers with digests by owner, and for those that differ
-//! facts are told both ways, [`MAX_SYNC_DATAGRAMS`] datagrams in a period at most. A member that was cut off or started anew catches up so, in
-//! a time that grows with what it missed and not with the fleet.
+//! **Gossip.** In each period a member sends one datagram to each of [`FANOUT`] random living members. Facts
+//! of rare kinds go first, and among them those sent least often. A member sends each fact up to
+//! [`Facts::max_transmissions`] times, a number that grows with the logarithm of the cluster size. It sends a
+//! fact less often if it also receives it from others. Frequent kinds ([`is_frequent`]) get the remaining
+//! space: this member's own facts first, then the youngest. In the last datagram of a period the frequent
+//! kinds go first. The traffic of a member is therefore bounded, whatever the size of the cluster. In a large
+//! cluster, a member stores the frequent facts of a random sample of members, the newest first.
 //!
-//! **How they end.** A fact that its owner takes back stays as one with an empty body until that expires; one of a gone
-//! member ends; so does one that was not said again for [`Facts::expiry`]. Only ages are sent, never times; a fact that is
-//! told by several is as old as the oldest word of it. Ages leave out the time on the way.
+//! **Synchronisation.** Once a period a member compares its rare facts with those of one random other member.
+//! It sends 32 digests, each of the facts of a group of owners. A receiver that finds a difference replies
+//! with digests of single owners. For the owners whose digests differ, both members send each other their
+//! facts, in at most [`MAX_SYNC_DATAGRAMS`] datagrams per period. A member that was disconnected or restarted
+//! catches up in this way. The time this takes grows with the number of facts it missed, not with the cluster
+//! size.
 //!
-//! Whatever others say, an owner has at most [`MAX_FACTS_PER_OWNER`] facts, [`MAX_FACT_BYTES`] each.
+//! **Removal.** A fact that its owner withdraws stays stored with an empty body until it expires. The facts
+//! of a member that is gone are removed. A fact that is not republished within [`Facts::expiry`] is removed
+//! too. Members send ages, never timestamps. If several members send the same fact, the highest age counts.
+//! Ages do not include the time that datagrams spend on the network.
+//!
+//! Whatever other members send, a member stores at most [`MAX_FACTS_PER_OWNER`] facts of one owner, of at
+//! most [`MAX_FACT_BYTES`] each.
 
 mod compare;
 mod spread;
@@ -35,33 +43,35 @@
 use crate::api::{Config, Fact, FactKind, MAX_FACT_BYTES, MemberId, Millis};
 use crate::wire::MAX_INCARNATION;
 
-/// How many facts of one owner are held at most, those taken back included.
+/// The maximum number of facts stored per owner, including withdrawn ones.
 pub const MAX_FACTS_PER_OWNER: usize = 96;
 
-/// How many members are told facts in a period: one datagram each.
+/// The number of members that a member sends facts to in each period, in one datagram each.
 pub const FANOUT: usize = 4;
 
-/// How many datagrams of facts a member tells by comparisons in a period at most.
+/// The maximum number of datagrams of facts that a member sends per period for synchronisation.
 pub const MAX_SYNC_DATAGRAMS: usize = 8;
 
-/// The highest version. An owner that says a thousand facts a second gets there in 24 days; it then starts anew as a
-/// newer incarnation would. A higher one is absurd.
+/// The highest valid version. An owner that publishes a thousand facts per second reaches it in 24 days and
+/// must then continue under a newer incarnation. Facts with a higher version are rejected as invalid.
 const MAX_VERSION: u32 = 1 << 31;
 
-/// The highest age that is sent, in milliseconds: four and a half hours, beyond any expiry.
+/// The highest age that is sent, in milliseconds: four and a half hours, which is longer than any expiry.
 const MAX_AGE_MS: u32 = 1 << 24;
 
-/// Whether a kind is said anew all the time, so that a lost one matters little.
+/// Whether facts of a kind are published so often that the loss of one matters little. All other kinds are
+/// called rare.
 pub fn is_frequent(kind: FactKind) -> bool {
     matches!(kind, FactKind::LOAD | FactKind::LOAD_REPORT | FactKind::SHEDDING_LEVEL)
 }
 
-/// Whether a kind tells of a moment, so that its owner does not say it again by itself.
+/// Whether a fact of a kind describes an event at one moment, so that its owner does not republish it
+/// periodically.
 fn is_event(kind: FactKind) -> bool {
     matches!(kind, FactKind::EJECTION_PROBE | FactKind::SERVER_STATE)
 }
 
-/// What a fact is found by: in this order all of a kind stand together.
+/// Identifies a fact. The order of the fields keeps all facts of a kind next to each other in a sorted map.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct FactId {
     kind: FactKind,
@@ -69,23 +79,26 @@
     key: u64,
 }
 
-/// Where a fact waits to be told: frequent ones of this member's own first, so that what others hold is a fair sample
-/// of members; then by how often it was told, the youngest first.
+/// The position of a fact in a send queue: its rank, the time of its publication and its id. Frequent facts
+/// of this member itself come first, so that the facts stored by other members are a fair sample of the
+/// members. The others are ordered by the number of transmissions, and then the youngest first.
 type QueueEntry = (u8, Reverse<i64>, FactId);
 
+/// A fact that this member stores, without its id.
 #[derive(Debug)]
 struct StoredFact {
     incarnation: u64,
     version: u32,
     body: Vec<u8>,
-    /// When its owner said it, by this member's clock, which may have stood below zero then.
+    /// When the owner published it, in milliseconds on this member's clock. Negative if the fact is older
+    /// than the clock's zero.
     published_at: i64,
-    /// How often it was told, while it is still told.
+    /// How often this member has sent or received it, or `None` if it is no longer sent.
     transmissions: Option<u8>,
 }
 
 impl StoredFact {
-    /// Its turn at a member, if it is still told.
+    /// Returns its position in the send queue of the member `me`, or `None` if it is no longer sent.
     fn queue_entry(&self, me: MemberId, id: FactId) -> Option<QueueEntry> {
         let own_frequent = id.owner == me && is_frequent(id.kind);
         let rank = |transmissions: u8| if own_frequent { 0 } else { transmissions.saturating_add(1) };
@@ -93,33 +106,33 @@
     }
 }
 
-/// A fact as it is sent.
+/// A fact as it is sent to other members.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StampedFact {
-    /// Whose it is.
+    /// The member that published the fact.
     pub owner: MemberId,
     /// The incarnation of the owner's process.
     pub incarnation: u64,
-    /// Higher for what the owner said later.
+    /// The version, which increases with every fact that this incarnation of the owner publishes.
     pub version: u32,
-    /// How long ago the owner said it, in milliseconds.
+    /// How long ago the owner published it, in milliseconds.
     pub age: u32,
-    /// What it says.
+    /// The fact itself.
     pub fact: Fact,
 }
 
-/// What changed for this member by what it heard.
+/// A change of another member's fact, for the process of this member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FactChange {
-    /// Whose fact.
+    /// The member that published the fact.
     pub owner: MemberId,
-    /// The fact; with an empty body it ended.
+    /// The fact. An empty body means that it was withdrawn, has expired, or that its owner is gone.
     pub fact: Fact,
-    /// Its age in milliseconds.
+    /// The age of the fact in milliseconds.
     pub age: Millis,
 }
 
-/// The facts that a member holds, its own and others'.
+/// The facts that a member stores, its own and those of others.
 #[derive(Debug)]
 pub struct Facts {
     me: MemberId,
@@ -127,31 +140,38 @@
     version: u32,
     period: Millis,
     stored: BTreeMap<FactId, StoredFact>,
-    /// By owner: the newest incarnation that is known, how many facts are held, and the digest of the rare ones.
+    /// The state of each owner, indexed by member id.
     owners: Vec<OwnerState>,
+    /// The facts of rare kinds that are still sent.
     rare_queue: BTreeSet<QueueEntry>,
+    /// The facts of frequent kinds that are still sent.
     frequent_queue: BTreeSet<QueueEntry>,
     changes: Vec<FactChange>,
-    /// When own rare facts are said again, and expired ones are looked for.
+    /// When this member republishes its own rare facts.
     next_republish: Millis,
+    /// When expired facts are removed next.
     next_expiry_check: Millis,
     rejected: u64,
-    /// How many datagrams may be answered until the next period.
+    /// How many datagrams of facts may still be sent for synchronisation in this period.
     sync_datagrams_left: usize,
     rng: Pcg64Mcg,
 }
 
+/// What this member knows of one owner.
 #[derive(Debug, Clone, Copy, Default)]
 struct OwnerState {
+    /// The newest known incarnation.
     incarnation: u64,
+    /// The number of stored facts.
     fact_count: usize,
+    /// The digest of the stored facts of rare kinds.
     digest: u32,
-    /// It is gone: what others still say of it is not taken.
+    /// Whether the owner is gone. Facts of it that others still send are then ignored.
     gone: bool,
 }
 
 impl Facts {
-    /// No facts yet, at a process that started with this incarnation.
+    /// Creates an empty store for a process that started with this incarnation.
     pub fn new(config: &Config, now: Millis, incarnation: u64, seed: u64) -> Facts {
         let mut owners = vec![OwnerState::default(); config.members.len()];
         if let Some(own) = owners.get_mut(usize::from(config.me.0)) {
@@ -177,20 +197,21 @@
         facts
     }
 
-    /// How often a member passes a fact on: 2 and half the logarithm of the fleet. With fewer than all reached by that,
-    /// comparisons bring it to the rest.
+    /// Returns how often a member sends a fact at most: 2 plus half the binary logarithm of the cluster size.
+    /// Members that gossip does not reach this way get the fact by synchronisation.
     pub fn max_transmissions(&self) -> u8 {
         let doublings = usize::BITS - self.owners.len().leading_zeros();
         2 + u8::try_from(doublings / 2).unwrap_or(u8::MAX / 2)
     }
 
-    /// How often a member says its rare facts again, in milliseconds: as much longer as there are more members, so that
-    /// all together say as many in a second whatever the fleet.
+    /// Returns the interval, in milliseconds, at which a member republishes its rare facts. It grows with the
+    /// number of members, so that all of them together republish about the same number per second in a
+    /// cluster of any size.
     pub fn republish_interval(&self) -> Millis {
         self.period.saturating_mul(50 + 4 * self.owners.len() as u64).min(u64::from(MAX_AGE_MS) / 4)
     }
 
-    /// How old a fact becomes, in milliseconds.
+    /// Returns the age, in milliseconds, beyond which a fact of this kind expires.
     pub fn expiry(&self, kind: FactKind) -> Millis {
         match is_frequent(kind) {
             true => self.period.saturating_mul(15),
@@ -198,20 +219,21 @@
         }
     }
 
-    /// Facts that were not taken: of nobody configured, too long, too many, absurd.
+    /// Returns the number of rejected facts. A fact is rejected if its owner is not configured, if it is too
+    /// long, if its owner has too many, or if its stamp is out of range.
     pub fn rejected(&self) -> u64 {
         self.rejected
     }
 
-    /// Says a fact of this member's own; one with an empty body takes it back. False: it is too long, or there are too many
-    /// already.
+    /// Publishes a fact of this member. An empty body withdraws the fact. Returns false if the body is too
+    /// long or if this member has too many facts already.
     pub fn publish(&mut self, now: Millis, fact: Fact) -> bool {
         let id = FactId { kind: fact.kind, owner: self.me, key: fact.key };
         let stored = self.stored.get(&id);
         if stored.is_none() && fact.body.is_empty() {
             return true;
         }
-        // What is the same already is said again by and by.
+        // An unchanged fact is not published anew, as the periodic republication covers it.
         if stored.is_some_and(|stored| stored.body == fact.body)
             && !is_frequent(fact.kind)
             && fact.kind != FactKind::EJECTION_PROBE
@@ -241,14 +263,15 @@
         true
     }
 
-    /// The body of a fact and its age in milliseconds.
+    /// Returns the body of a fact and its age in milliseconds, unless it is unknown, withdrawn or expired.
     pub fn get(&self, now: Millis, owner: MemberId, kind: FactKind, key: u64) -> Option<(&[u8], Millis)> {
         let stored = self.stored.get(&FactId { kind, owner, key })?;
         let age = age(now, stored.published_at);
         (!stored.body.is_empty() && age <= self.expiry(kind)).then_some((&stored.body, age))
     }
 
-    /// All facts of a kind: owner, key, body and age in milliseconds.
+    /// Returns the owner, key, body and age in milliseconds of each fact of a kind. Withdrawn and expired
+    /// facts are left out.
     pub fn of_kind(
         &self,
         now: Millis,
@@ -265,7 +288,7 @@
             .filter(move |(_, _, body, age)| !body.is_empty() && *age <= expiry)
     }
 
-    /// This member's own facts that stand.
+    /// Returns this member's own facts that it has not withdrawn.
     pub fn own(&self) -> Vec<Fact> {
         self.stored
             .iter()
@@ -274,22 +297,23 @@
             .collect()
     }
 
-    /// How many facts are held.
+    /// Returns the number of stored facts, including withdrawn ones.
     pub fn len(&self) -> usize {
         self.stored.len()
     }
 
-    /// Whether none are held.
+    /// Whether no facts are stored.
     pub fn is_empty(&self) -> bool {
         self.stored.is_empty()
     }
 
-    /// What changed by what was heard, since the last time.
+    /// Returns the changes since the last call.
     pub fn take_changes(&mut self) -> Vec<FactChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Takes in a part of facts. False: it is malformed, and those before the fault are taken.
+    /// Merges the facts of a datagram part. Returns false if the part is malformed. The facts before the
+    /// malformed one are merged nevertheless.
     pub fn receive(&mut self, now: Millis, mut part: &[u8]) -> bool {
         while !part.is_empty() {
             let Ok((stamped, rest)) = postcard::take_from_bytes::<StampedFact>(part) else { return false };
@@ -299,7 +323,8 @@
         true
     }
 
-    /// Takes in one fact.
+    /// Merges one fact that another member sent. It is ignored if it is outdated or expired, or if its owner
+    /// is this member or is gone.
     pub fn merge(&mut self, now: Millis, stamped: StampedFact) {
         let StampedFact { owner, incarnation, version, age: age_ms, fact } = stamped;
         let id = FactId { kind: fact.kind, owner, key: fact.key };
@@ -311,7 +336,7 @@
             self.rejected += 1;
             return;
         };
-        // Of this member only itself speaks; a former self's words end with it.
+        // Only this member itself publishes its facts, and facts of an earlier incarnation are void.
         if owner == self.me
             || incarnation < owner_state.incarnation
             || (incarnation == owner_state.incarnation && owner_state.gone)
@@ -329,8 +354,9 @@
         match self.stored.get_mut(&id) {
             Some(stored) if version < stored.version => return,
             Some(stored) if version == stored.version => {
-                // Whoever tells it knows it, and the others likely do: it need not be told so often (Demers and others
-                // 1987). The oldest word of it is nearest to the truth.
+                // The sender knows this fact and other members probably do, so it needs fewer transmissions
+                // (Demers et al. 1987). Ages leave out network delays, so the highest age is the most
+                // accurate.
                 let old_entry = stored.queue_entry(self.me, id);
                 stored.published_at = stored.published_at.min(published_at);
                 stored.transmissions = stored
@@ -357,7 +383,7 @@
             None => {}
         }
         let changed = self.stored.get(&id).map_or(!fact.body.is_empty(), |stored| stored.body != fact.body);
-        // What is only said again need not be told as often.
+        // A republished fact with an unchanged body needs fewer transmissions.
         let transmissions = Some(if changed || is_event(fact.kind) || is_frequent(fact.kind) {
             0
         } else {
@@ -367,13 +393,14 @@
             id,
             StoredFact { incarnation, version, body: fact.body.clone(), published_at, transmissions },
         );
-        // A frequent fact matters for being new, and one of a trial for its time.
+        // An unchanged body is still a change if the kind is frequent, because the fact is more recent, or if
+        // it describes an event such as an ejection probe, because the time of the event matters.
         if changed || is_frequent(fact.kind) || is_event(fact.kind) {
             self.changes.push(FactChange { owner, fact, age: u64::from(age_ms) });
         }
     }
 
-    /// Takes in that a process of a member lives: what its former self said ends.
+    /// Records that a process of a member is alive. Facts of its earlier incarnations are removed.
     pub fn mark_alive(&mut self, owner: MemberId, incarnation: u64) {
         let Some(owner_state) = self.owners.get_mut(usize::from(owner.0)) else { return };
         if owner == self.me || incarnation < owner_state.incarnation {
@@ -388,7 +415,7 @@
         self.remove_all(former_ids.into_iter());
     }
 
-    /// Takes in that a member is gone: what it said ends.
+    /// Records that a member is gone and removes its facts.
     pub fn mark_gone(&mut self, owner: MemberId) {
         if owner != self.me
             && let Some(owner_state) = self.owners.get_mut(usize::from(owner.0))
@@ -399,6 +426,7 @@
         }
     }
 
+    /// Stores a fact in place of its earlier version, and queues it.
     fn insert(&mut self, id: FactId, stored: StoredFact) {
         self.remove(id);
         if let Some(owner) = self.owners.get_mut(usize::from(id.owner.0)) {
@@ -410,6 +438,7 @@
         self.stored.insert(id, stored);
     }
 
+    /// Removes a fact from the store, the digest of its owner and its queue.
     fn remove(&mut self, id: FactId) -> Option<StoredFact> {
         let stored = self.stored.remove(&id)?;
         if let Some(owner) = self.owners.get_mut(usize::from(id.owner.0)) {
@@ -423,7 +452,7 @@
         Some(stored)
     }
 
-    /// The places of all facts of an owner, without going through those of others.
+    /// Returns the ids of all facts of an owner, without iterating over the facts of other owners.
     fn ids_of_owner(&self, owner: MemberId) -> Vec<FactId> {
         let mut ids = Vec::new();
         let mut kind = Some(FactKind(0));
@@ -437,6 +466,7 @@
         ids
     }
 
+    /// Removes facts and records a change for each of another member's that was not withdrawn.
     fn remove_all(&mut self, ids: impl Iterator<Item = FactId>) {
         for id in ids {
             let Some(stored) = self.remove(id) else { continue };
@@ -448,6 +478,7 @@
     }
 }
 
+/// Encodes a fact with its stamp and its current age.
 fn encode(now: Millis, id: FactId, stored: &StoredFact) -> Option<Vec<u8>> {
     let age = u32::try_from(age(now, stored.published_at)).unwrap_or(u32::MAX).min(MAX_AGE_MS);
     let fact = Fact { kind: id.kind, key: id.key, body: stored.body.clone() };
@@ -455,7 +486,7 @@
     postcard::to_allocvec(&StampedFact { owner: id.owner, incarnation, version, age, fact }).ok()
 }
 
-/// What a rare fact adds to its owner's digest; frequent ones are not compared.
+/// Returns what a fact contributes to its owner's digest: 0 for frequent kinds, which are not synchronised.
 fn fact_digest(id: FactId, stored: &StoredFact) -> u32 {
     if is_frequent(id.kind) {
         return 0;
@@ -470,10 +501,12 @@
     (hash >> 32) as u32 ^ hash as u32
 }
 
+/// Converts a time to a signed number, so that times before the clock's zero can be expressed.
 fn to_signed(now: Millis) -> i64 {
     i64::try_from(now).unwrap_or(i64::MAX)
 }
 
+/// Returns the age of a fact in milliseconds, which is 0 if it was published after `now`.
 fn age(now: Millis, published_at: i64) -> Millis {
     u64::try_from(to_signed(now).saturating_sub(published_at)).unwrap_or(0)
 }
