--- a/crates/peers/src/facts/compare.rs
+++ b/crates/peers/src/facts/compare.rs
@@ -1,4 +1,5 @@
-//! Two members compare what they hold of rare facts, in three steps at most, and tell each other what differs.
+//! Synchronisation of rare facts between two members. They compare digests in at most three steps and send
+//! each other the facts of owners whose digests differ.
 
 use std::collections::BTreeSet;
 
@@ -9,22 +10,23 @@
 use crate::api::{MemberId, Millis};
 use crate::wire::{MAX_PART_BYTES, Outbox, PartKind};
 
-/// How many digests stand in one step of a comparison.
+/// The maximum number of digests or owners in one step. It is also the number of groups: an owner belongs to
+/// the group that is the remainder of its member id divided by this number.
 const DIGESTS_PER_STEP: u16 = 32;
 
-/// A step of a comparison.
+/// A step of a synchronisation.
 #[derive(Debug, Serialize, Deserialize)]
 enum SyncStep {
-    /// Digests of what the owners of places that leave this remainder by [`DIGESTS`] said.
+    /// One digest per group of owners, in the order of the groups. See [`DIGESTS_PER_STEP`].
     GroupDigests(Vec<u32>),
-    /// Digests by owner, for the owners `first`, `first` + 32, `first` + 64 and so on.
+    /// One digest per owner, for the owners `first`, `first` + 32, `first` + 64 and so on.
     OwnerDigests { first: u16, digests: Vec<u32> },
-    /// Tell what is known of these owners.
+    /// A request for the facts of these owners.
     Request(Vec<MemberId>),
 }
 
 impl Facts {
-    /// Begins to compare rare facts with a member.
+    /// Starts a synchronisation of rare facts with a member.
     pub(super) fn start_sync(&mut self, to: MemberId, outbox: &mut Outbox) {
         let mut digests = vec![0; usize::from(DIGESTS_PER_STEP).min(self.owners.len())];
         for (index, owner) in self.owners.iter().enumerate() {
@@ -35,7 +37,7 @@
         send_step(to, &SyncStep::GroupDigests(digests), outbox);
     }
 
-    /// Takes in a step of a comparison. False: it is malformed.
+    /// Handles a step of a synchronisation. Returns false if the step is malformed.
     pub fn handle_sync(&mut self, now: Millis, from: MemberId, part: &[u8], outbox: &mut Outbox) -> bool {
         let Ok(step) = postcard::from_bytes::<SyncStep>(part) else { return false };
         match step {
@@ -51,7 +53,8 @@
                         differing.push(group);
                     }
                 }
-                // As many as hold 32 owners, at least two: the rest have their turn in later periods.
+                // Replies for as many differing groups as contain 32 owners, and for at least two if that
+                // many differ. Later periods cover the remaining groups.
                 let owners_per_group = self.owners.len().div_ceil(usize::from(DIGESTS_PER_STEP));
                 for _ in 0..(usize::from(DIGESTS_PER_STEP) / owners_per_group).max(2).min(differing.len()) {
                     let group = differing.swap_remove(self.rng.random_range(0..differing.len()));
@@ -97,7 +100,8 @@
         }
     }
 
-    /// Tells a member what is held of these owners, beginning anywhere among them: what does not fit is told another time.
+    /// Sends a member the stored rare facts of these owners, beginning at a random one. Facts that do not fit
+    /// into the datagrams left in this period are sent in a later synchronisation.
     fn send_facts(&mut self, now: Millis, to: MemberId, owners: &[MemberId], outbox: &mut Outbox) {
         if self.sync_datagrams_left == 0 {
             return;
@@ -131,6 +135,7 @@
         }
     }
 
+    /// Returns the owners `first`, `first` + 32, `first` + 64 and so on, with their indexes.
     fn owners_in_group(&self, first: u16) -> impl Iterator<Item = (u16, OwnerState)> {
         (first..u16::MAX)
             .step_by(usize::from(DIGESTS_PER_STEP))
--- a/crates/peers/src/facts/spread.rs
+++ b/crates/peers/src/facts/spread.rs
@@ -1,4 +1,4 @@
-//! What a member tells others each period.
+//! The facts that a member sends to other members in each period.
 
 use rand::RngExt;
 
@@ -9,7 +9,8 @@
 use crate::wire::{MAX_PART_BYTES, Outbox, PartKind};
 
 impl Facts {
-    /// Tells some of the living what is new, compares with one, says own facts again and lets old ones end.
+    /// Runs the periodic work: republishes own facts and removes expired ones when they are due, sends facts
+    /// to random living members and starts a synchronisation with one of them.
     pub fn on_period(&mut self, now: Millis, living: &[MemberId], outbox: &mut Outbox) {
         if now >= self.next_republish {
             self.next_republish = now.saturating_add(self.republish_interval());
@@ -19,7 +20,8 @@
             self.next_expiry_check = now.saturating_add(self.period.saturating_mul(5));
             let (frequent_expiry, rare_expiry) =
                 (self.expiry(FactKind::LOAD), self.expiry(FactKind::REACHABILITY));
-            // What is taken back of one's own may be forgotten, what stands is said again.
+            // Own facts of rare kinds do not expire, because this member republishes them. Its withdrawn
+            // facts do.
             let is_republished = |id: &FactId, stored: &StoredFact| {
                 id.owner == self.me && !stored.body.is_empty() && !is_frequent(id.kind)
             };
@@ -45,7 +47,7 @@
         }
     }
 
-    /// Up to so many of the living, without this member, in random order.
+    /// Returns up to `count` living members other than this one, in random order.
     fn choose_targets(&mut self, living: &[MemberId], count: usize) -> Vec<MemberId> {
         let mut chosen: Vec<MemberId> = Vec::new();
         let other_count = living.len().saturating_sub(usize::from(living.contains(&self.me)));
@@ -58,7 +60,8 @@
         chosen
     }
 
-    /// A datagram's part of facts whose turn it is.
+    /// Returns the datagram part with the next facts to send to a member. Facts that the member itself
+    /// published are left out.
     fn next_part(&mut self, now: Millis, to: MemberId, frequent_first: bool) -> Vec<u8> {
         let mut part = Vec::new();
         let mut sent = Vec::new();
@@ -78,7 +81,8 @@
                 };
                 if part.len() + bytes.len() > MAX_PART_BYTES {
                     skipped += 1;
-                    // A shorter one may still fit; not for long.
+                    // A shorter fact may still fit. The search in this queue ends at the fifth fact that does
+                    // not fit, or when fewer than 16 bytes are left.
                     if skipped > 4 || MAX_PART_BYTES - part.len() < 16 {
                         continue 'queues;
                     }
@@ -104,7 +108,8 @@
         part
     }
 
-    /// Says own rare facts again, as if new; what was taken back is left to expire.
+    /// Republishes own facts of rare kinds with a new version, except those that describe an event. Withdrawn
+    /// facts are left to expire.
     fn republish(&mut self, now: Millis) {
         let own_ids: Vec<FactId> = self
             .stored
