--- a/crates/peers/src/facts/mod.rs
+++ b/crates/peers/src/facts/mod.rs
@@ -121,7 +121,7 @@
     pub fact: Fact,
 }
 
-/// A change of another member's fact, for the process of this member.
+/// A change of another member's fact: it is new, has changed, was published again or has ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FactChange {
     /// The member that published the fact.
@@ -233,7 +233,8 @@
         if stored.is_none() && fact.body.is_empty() {
             return true;
         }
-        // An unchanged fact is not published anew, as the periodic republication covers it.
+        // An unchanged fact is not published anew, as the periodic republication covers it. Frequent kinds
+        // and ejection probes are published each time.
         if stored.is_some_and(|stored| stored.body == fact.body)
             && !is_frequent(fact.kind)
             && fact.kind != FactKind::EJECTION_PROBE
@@ -466,7 +467,7 @@
         ids
     }
 
-    /// Removes facts and records a change for each of another member's that was not withdrawn.
+    /// Removes facts, and records a change for each fact of another member that had not been withdrawn.
     fn remove_all(&mut self, ids: impl Iterator<Item = FactId>) {
         for id in ids {
             let Some(stored) = self.remove(id) else { continue };
