--- a/crates/peers/src/overload/admission.rs
+++ b/crates/peers/src/overload/admission.rs
@@ -13,21 +13,21 @@
 /// that hardly differ must not change places by a member's idea of their service times.
 const ALIKE: f64 = 0.2;
 
-/// How much of the work counts as spread over all classes alike, in [`Order::level_for`]: a class of which hardly
+/// How much of the work counts as spread over all classes alike, in [`SheddingOrder::level_to_shed`]: a class of which hardly
 /// anything comes is passed over steadily and not with a jump.
 const SPREAD: f64 = 0.05;
 
 /// The classes' places on the level's way.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Order {
+pub struct SheddingOrder {
     /// From which level on a class is shed, and from which on it is down at the floor.
     parts: Vec<[f64; 2]>,
     floor: f64,
 }
 
-impl Order {
+impl SheddingOrder {
     /// The order of classes with such worth and service times (0: unknown, then as long as the others').
-    pub fn new(worth: &[ClassPriority], classes: &[Rates], floor: f64) -> Order {
+    pub fn new(worth: &[ClassPriority], classes: &[Rates], floor: f64) -> SheddingOrder {
         let known = || classes.iter().map(|rates| rates.service_ms).filter(|&time| time > 0.0);
         let usual = if known().count() > 0 { known().sum::<f64>() / known().count() as f64 } else { 1.0 };
         let earns: Vec<f64> = (worth.iter().enumerate())
@@ -48,16 +48,16 @@
             })
             .collect();
         let floor = if floor.is_finite() { floor.clamp(0.0, 1.0) } else { 1.0 };
-        Order { parts, floor }
+        SheddingOrder { parts, floor }
     }
 
     /// By class, the chance to be let in.
-    pub fn admit(&self, level: f64) -> Vec<f64> {
+    pub fn admission_probabilities(&self, level: f64) -> Vec<f64> {
         self.parts.iter().map(|part| 1.0 - (1.0 - self.floor) * passed(*part, level)).collect()
     }
 
     /// The level at which such a share of the work is shed; 1 where no level sheds as much.
-    pub fn level_for(&self, share: f64, classes: &[Rates]) -> f64 {
+    pub fn level_to_shed(&self, share: f64, classes: &[Rates]) -> f64 {
         let work: Vec<f64> =
             classes.iter().map(|rates| rates.arrivals() * rates.service_ms.max(1.0)).collect();
         let total: f64 = work.iter().sum();
@@ -102,23 +102,26 @@
     #[test]
     fn the_cheapest_for_its_work_goes_first_and_none_below_the_floor() {
         // 0.1, 0.5 and 0.05 a millisecond.
-        let order = Order::new(&worth(&[4.0, 5.0, 20.0], false), &classes(&[40.0, 10.0, 400.0]), 0.05);
+        let order =
+            SheddingOrder::new(&worth(&[4.0, 5.0, 20.0], false), &classes(&[40.0, 10.0, 400.0]), 0.05);
         for step in 0..=100 {
-            let admit = order.admit(f64::from(step) / 100.0);
+            let admit = order.admission_probabilities(f64::from(step) / 100.0);
             assert!(admit.iter().all(|&chance| chance >= 0.05 - 1e-9));
             assert!(admit[1] == 1.0 || admit[0] < 0.05 + 1e-9 && admit[2] < 0.05 + 1e-9, "{admit:?}");
             assert!(admit[0] == 1.0 || admit[2] < 0.05 + 1e-9, "{admit:?}");
         }
-        assert!(order.admit(1.0).iter().all(|&chance| chance < 0.05 + 1e-9));
+        assert!(order.admission_probabilities(1.0).iter().all(|&chance| chance < 0.05 + 1e-9));
         // Where worth is for work, service times do not matter.
-        let order = Order::new(&worth(&[4.0, 5.0, 20.0], true), &classes(&[40.0, 10.0, 400.0]), 0.05);
-        assert!(order.admit(0.3)[0] < 0.2 && order.admit(0.3)[2] == 1.0);
+        let order = SheddingOrder::new(&worth(&[4.0, 5.0, 20.0], true), &classes(&[40.0, 10.0, 400.0]), 0.05);
+        assert!(order.admission_probabilities(0.3)[0] < 0.2 && order.admission_probabilities(0.3)[2] == 1.0);
     }
 
     #[test]
     fn classes_that_hardly_differ_change_places_without_a_jump() {
-        let chances =
-            |second: f64| Order::new(&worth(&[1.0, second], true), &classes(&[9.0, 9.0]), 0.0).admit(0.4);
+        let chances = |second: f64| {
+            SheddingOrder::new(&worth(&[1.0, second], true), &classes(&[9.0, 9.0]), 0.0)
+                .admission_probabilities(0.4)
+        };
         let mut before = chances(0.5);
         for step in 0..200 {
             let after = chances(0.5 + f64::from(step) * 0.005);
@@ -134,13 +137,13 @@
     #[test]
     fn a_level_sheds_the_share_that_it_was_asked_for() {
         let of = classes(&[40.0, 10.0, 400.0]);
-        let order = Order::new(&worth(&[4.0, 5.0, 20.0], false), &of, 0.05);
+        let order = SheddingOrder::new(&worth(&[4.0, 5.0, 20.0], false), &of, 0.05);
         for share in [0.1, 0.3, 0.5, 0.8] {
-            let admit = order.admit(order.level_for(share, &of));
+            let admit = order.admission_probabilities(order.level_to_shed(share, &of));
             let shed: f64 =
                 admit.iter().zip(&of).map(|(chance, of)| (1.0 - chance) * of.service_ms).sum::<f64>();
             assert!((shed / 450.0 - share).abs() < 0.04, "{share}: {}", shed / 450.0);
         }
-        assert_eq!((order.level_for(0.99, &of), order.level_for(f64::NAN, &of)), (1.0, 0.0));
+        assert_eq!((order.level_to_shed(0.99, &of), order.level_to_shed(f64::NAN, &of)), (1.0, 0.0));
     }
 }
--- a/crates/peers/src/overload/budgets.rs
+++ b/crates/peers/src/overload/budgets.rs
@@ -1,6 +1,6 @@
 //! Retries and second copies within one budget of the fleet's first tries, and when refused clients may come back.
 //!
-//! In any time the fleet makes at most its share of its first tries in that time, and [`fleet_burst`] more. This holds
+//! In any time the fleet makes at most its share of its first tries in that time, and [`cluster_burst`] more. This holds
 //! whoever hears whom, since it is made of parts that each member keeps by itself: a share of its own first tries, and
 //! whole numbers by right that add up over the configured members.
 //!
@@ -25,33 +25,33 @@
 const SLICES: usize = 16;
 
 /// Further sends that all configured members together may have saved up, of a kind.
-pub fn fleet_burst(members: usize) -> u64 {
+pub fn cluster_burst(members: usize) -> u64 {
     FLEET_SAVES + members as u64
 }
 
 /// What a member may have saved up by right.
 #[derive(Debug, Clone, Copy)]
-pub struct Rights {
+pub struct BurstShares {
     retries: u32,
     copies: u32,
 }
 
-impl Rights {
+impl BurstShares {
     /// Those of one of the configured members.
-    pub fn new(me: MemberId, members: &[MemberId]) -> Rights {
+    pub fn new(me: MemberId, members: &[MemberId]) -> BurstShares {
         let right = |key: u64| {
-            let shares = rendezvous::split(fleet_burst(members.len()), key, members);
+            let shares = rendezvous::split(cluster_burst(members.len()), key, members);
             let mine = members.iter().zip(shares).find(|(member, _)| **member == me);
             mine.map_or(0, |(_, share)| u32::try_from(share).unwrap_or(u32::MAX))
         };
-        Rights {
+        BurstShares {
             retries: right(u64::from_be_bytes(*b"retries_")),
             copies: right(u64::from_be_bytes(*b"copies__")),
         }
     }
 
     /// Retries and second copies that this member may make, by its own rates and the level.
-    pub fn allowed(&self, budgets: &Budgets, own: &[Rates], level: f64) -> [Allowance; 2] {
+    pub fn allowances(&self, budgets: &Budgets, own: &[Rates], level: f64) -> [Allowance; 2] {
         let first_tries: f64 = own.iter().map(|rates| rates.first_tries).sum();
         let allowance = |share: f64, right: u32| {
             let share = if share.is_finite() { share.max(0.0) } else { 0.0 };
@@ -67,7 +67,7 @@
 
 /// The slice of the time that refused clients stay away which is this member's at its `turn`: by its rank among the
 /// living, and one further each turn, so that no member's clients always wait longest.
-pub fn come_back(me: MemberId, living: &[MemberId], turn: u64) -> [f64; 2] {
+pub fn retry_after_range(me: MemberId, living: &[MemberId], turn: u64) -> [f64; 2] {
     let slices = living.len().clamp(1, SLICES);
     let rank = living.iter().filter(|&&member| member < me).count();
     let slice = ((rank as u64 + turn) % slices as u64) as f64;
@@ -84,15 +84,17 @@
         for count in [1_u16, 7, 300, 1_000] {
             let members: Vec<MemberId> = (0..count).map(MemberId).collect();
             let budgets = Budgets { retries: 0.1, hedges: 0.05 };
-            let allowed: Vec<[Allowance; 2]> =
-                members.iter().map(|&me| Rights::new(me, &members).allowed(&budgets, &rates, 0.0)).collect();
+            let allowed: Vec<[Allowance; 2]> = members
+                .iter()
+                .map(|&me| BurstShares::new(me, &members).allowances(&budgets, &rates, 0.0))
+                .collect();
             for kind in 0..2 {
                 let sum: u64 = allowed.iter().map(|allowed| u64::from(allowed[kind].burst)).sum();
-                assert_eq!(sum, fleet_burst(members.len()));
+                assert_eq!(sum, cluster_burst(members.len()));
                 assert!(allowed.iter().all(|allowed| allowed[kind].burst > 0));
             }
             let slow = [Rates { first_tries: 20.0, ..Rates::default() }];
-            let [retries, copies] = Rights::new(members[0], &members).allowed(&budgets, &slow, 0.5);
+            let [retries, copies] = BurstShares::new(members[0], &members).allowances(&budgets, &slow, 0.5);
             assert!(retries.burst <= 2 && retries.share == 0.1);
             assert_eq!(copies, Allowance { share: 0.0, burst: 0 });
         }
@@ -103,12 +105,12 @@
         let living: Vec<MemberId> = (0..160).map(|n| MemberId(n * 3)).collect();
         let mut starts = [0; SLICES];
         for me in &living {
-            let [from, to] = come_back(*me, &living, 5);
+            let [from, to] = retry_after_range(*me, &living, 5);
             assert!(from >= 0.0 && to <= 1.0 && (to - from - 1.0 / 16.0).abs() < 1e-9);
             starts[(from * 16.0).round() as usize] += 1;
         }
         assert_eq!(starts, [10; SLICES]);
-        assert_ne!(come_back(living[3], &living, 5), come_back(living[3], &living, 6));
-        assert_eq!(come_back(MemberId(4), &[MemberId(4)], 9), [0.0, 1.0]);
+        assert_ne!(retry_after_range(living[3], &living, 5), retry_after_range(living[3], &living, 6));
+        assert_eq!(retry_after_range(MemberId(4), &[MemberId(4)], 9), [0.0, 1.0]);
     }
 }
--- a/crates/peers/src/overload/level.rs
+++ b/crates/peers/src/overload/level.rs
@@ -8,7 +8,7 @@
 
 use crate::api::Millis;
 
-use super::admission::Order;
+use super::admission::SheddingOrder;
 use super::figures::Rates;
 use super::fleet::{Means, Word, trimmed};
 
@@ -123,12 +123,12 @@
     }
 
     /// Moves on by a period that took so many seconds.
-    pub fn step(&mut self, now: Millis, passed_s: f64, means: &Means, words: &[Word], order: &Order) {
+    pub fn step(&mut self, now: Millis, passed_s: f64, means: &Means, words: &[Word], order: &SheddingOrder) {
         self.look(&means.classes, passed_s);
         let offered: f64 = means.classes.iter().map(|rates| rates.arrivals() * work(rates)).sum();
         self.learn(now, passed_s, means, words);
         let share = self.capacity.map_or(0.0, |capacity| 1.0 - capacity / offered.max(1e-9));
-        self.wants = order.level_for(share, &means.classes);
+        self.wants = order.level_to_shed(share, &means.classes);
         let wanted = words.iter().map(|word| word.wants).chain([self.wants]).collect();
         let goal = trimmed(wanted).unwrap_or(0.0).clamp(0.0, 1.0);
         let others = trimmed(words.iter().map(|word| word.level).collect()).unwrap_or(self.level);
--- a/crates/peers/src/overload/mod.rs
+++ b/crates/peers/src/overload/mod.rs
@@ -25,11 +25,11 @@
 #[cfg(test)]
 mod tests;
 
-pub use budgets::fleet_burst;
-pub use duties::{ASKED_BY, TAKEN_OVER, report_of, trial_of};
+pub use budgets::cluster_burst;
+pub use duties::{POLLERS_PER_SERVER, TAKEOVER_AFTER, decode_ejection_probe, decode_load_report};
 
-use admission::Order;
-use budgets::Rights;
+use admission::SheddingOrder;
+use budgets::BurstShares;
 use duties::Duties;
 use figures::Own;
 use fleet::{Table, Word};
@@ -46,7 +46,7 @@
     table: Table,
     level: Level,
     duties: Duties,
-    rights: Rights,
+    rights: BurstShares,
     /// What was let in, by class, since the last decision.
     admit: Vec<f64>,
     decided: Option<Millis>,
@@ -58,7 +58,7 @@
     pub fn new(config: Arc<Config>, _now: Millis) -> Overload {
         let members: Vec<MemberId> = (0..=u16::MAX).take(config.members.len()).map(MemberId).collect();
         Overload {
-            rights: Rights::new(config.me, &members),
+            rights: BurstShares::new(config.me, &members),
             own: Own::default(),
             table: Table::default(),
             level: Level::default(),
@@ -96,23 +96,23 @@
                     self.table.word(now, owner, word);
                 }
             }
-            _ => self.duties.heard(now, fact),
+            _ => self.duties.record_gossip(now, fact),
         }
     }
 
     /// Takes all servers that the module may use.
     pub fn servers(&mut self, now: Millis, servers: &[KnownServer]) {
-        self.duties.servers(now, servers);
+        self.duties.set_servers(now, servers);
     }
 
     /// A server told its load to this member: what others should hear, if it was this member's duty to ask.
     pub fn reported(&mut self, now: Millis, server: ServerKey, report: LoadReport) -> Option<Fact> {
-        self.duties.reported(now, server, report)
+        self.duties.record_load_report(now, server, report)
     }
 
     /// A trial of an ejected server by this member ended: what others should hear.
     pub fn tried(&mut self, now: Millis, server: ServerKey, well: bool) -> Option<Fact> {
-        self.duties.tried(now, server, well)
+        self.duties.record_ejection_probe(now, server, well)
     }
 
     /// Once a period: what the module should go by, and facts of this member to spread. `cold` is left absent. `living`
@@ -127,13 +127,13 @@
         self.table.expire(now);
         let mut living = living.to_vec();
         living.push(me);
-        self.duties.living(now, me, living);
-        let living = self.duties.all();
+        self.duties.set_alive(now, me, living);
+        let living = self.duties.alive_members();
         let heard = self.table.last_heard().is_some_and(|at| now.saturating_sub(at) <= ALONE_AFTER);
         let together = heard && living.len() > 1;
         let classes = self.config.classes.len();
         let means = self.table.means(now, &self.own.rates, classes);
-        let order = Order::new(&self.config.classes, &means.classes, self.config.class_floor);
+        let order = SheddingOrder::new(&self.config.classes, &means.classes, self.config.class_floor);
         if together {
             let words = self.table.words(now);
             self.level.step(now, passed_s, &means, &words, &order);
@@ -141,16 +141,16 @@
             self.level.alone(passed_s);
         }
         let level = self.level.level();
-        self.admit = if level > 0.0 { order.admit(level) } else { Vec::new() };
+        self.admit = if level > 0.0 { order.admission_probabilities(level) } else { Vec::new() };
         let fact = said(self.level.word()).into_iter().collect();
         let mut guidance = Guidance { admit: self.admit.clone(), level, ..Guidance::default() };
         if together {
-            let [retries, copies] = self.rights.allowed(&self.config.budgets, &self.own.rates, level);
+            let [retries, copies] = self.rights.allowances(&self.config.budgets, &self.own.rates, level);
             guidance.retries = Some(retries);
             guidance.hedges = Some(copies);
-            guidance.load_polls = Some(self.duties.probes(now));
-            guidance.ejection_probes = Some(self.duties.trials(now));
-            guidance.retry_after_range = Some(budgets::come_back(me, living, self.turn));
+            guidance.load_polls = Some(self.duties.load_polls(now));
+            guidance.ejection_probes = Some(self.duties.ejection_probes(now));
+            guidance.retry_after_range = Some(budgets::retry_after_range(me, living, self.turn));
         }
         (guidance, fact)
     }
--- a/crates/peers/src/overload/tests.rs
+++ b/crates/peers/src/overload/tests.rs
@@ -237,7 +237,7 @@
         for second in seconds.windows(5) {
             let [retries, first_tries] =
                 [0, 1].map(|which| second.iter().map(|period| period[which]).sum::<f64>());
-            let most = BUDGETS.retries * first_tries + fleet_burst(usize::from(members)) as f64;
+            let most = BUDGETS.retries * first_tries + cluster_burst(usize::from(members)) as f64;
             assert!(retries <= most, "{retries} retries in a second for {first_tries} first tries");
         }
         let took = (1..=15).find(|_| {
--- a/crates/peers/src/peer.rs
+++ b/crates/peers/src/peer.rs
@@ -407,14 +407,14 @@
                 self.overload.heard(now.saturating_sub(age), owner, &fact);
             }
             FactKind::LOAD_REPORT => {
-                if let Some(report) = overload::report_of(&fact) {
+                if let Some(report) = overload::decode_load_report(&fact) {
                     self.overload.heard(now.saturating_sub(age), owner, &fact);
                     outputs.push(Output::LoadReport { server, report, age });
                 }
             }
             FactKind::EJECTION_PROBE => {
                 let recent = age <= self.config.timing.period.saturating_mul(PROBE_RESULT_PERIODS);
-                if let Some(succeeded) = overload::trial_of(&fact).filter(|_| recent) {
+                if let Some(succeeded) = overload::decode_ejection_probe(&fact).filter(|_| recent) {
                     self.overload.heard(now.saturating_sub(age), owner, &fact);
                     outputs.push(Output::EjectionProbeEnded { server, succeeded });
                 }
--- a/crates/world/src/world.rs
+++ b/crates/world/src/world.rs
@@ -137,7 +137,7 @@
         let burst = match spec.mode {
             // Each has its own ten saved up.
             Mode::Alone => 10.0 * spec.members as f64,
-            Mode::Shared => peers::overload::fleet_burst(spec.members) as f64,
+            Mode::Shared => peers::overload::cluster_burst(spec.members) as f64,
         };
         let mut world = World {
             now: 0,
