--- a/crates/peers/src/overload/admission.rs
+++ b/crates/peers/src/overload/admission.rs
@@ -106,13 +106,17 @@
     use super::*;
 
     fn rates(service_times: &[f64]) -> Vec<Rates> {
-        (service_times.iter())
+        service_times
+            .iter()
             .map(|&service_ms| Rates { first_tries: 10.0, service_ms, ..Rates::default() })
             .collect()
     }
 
-    fn priorities(weights: &[f64], per_work_unit: bool) -> Vec<ClassPriority> {
-        weights.iter().map(|&weight| ClassPriority { priority_weight: weight, per_work_unit }).collect()
+    fn priorities(weights: &[f64], per_unit: bool) -> Vec<ClassPriority> {
+        weights
+            .iter()
+            .map(|&weight| ClassPriority { priority_weight: weight, per_work_unit: per_unit })
+            .collect()
     }
 
     #[test]
--- a/crates/peers/src/overload/budgets.rs
+++ b/crates/peers/src/overload/budgets.rs
@@ -1,75 +1,86 @@
-//! Retries and second copies within one budget of the fleet's first tries, and when refused clients may come back.
+//! The budgets of the cluster for retries and hedged requests, and the times when rejected clients may come
+//! back.
 //!
-//! In any time the fleet makes at most its share of its first tries in that time, and [`cluster_burst`] more. This holds
-//! whoever hears whom, since it is made of parts that each member keeps by itself: a share of its own first tries, and
-//! whole numbers by right that add up over the configured members.
+//! For retries and for hedged requests there is a limit each. In any interval, the cluster sends at most a
+//! fraction of its first attempts of that interval, plus [`cluster_burst`]. This holds whichever members
+//! receive gossip from each other, because every member enforces its own part: the same fraction of its own
+//! first attempts, and a fixed integer share of the burst. The shares of all configured members add up to
+//! the burst.
 //!
-//! What a member does not use is not lent to others. Shares of first tries are rates: a lender would have to lower its
-//! own before the borrower may raise its, and the borrower's first tries of the next period, by which its share counts, are
-//! not known when it is lent, so that the sum would hold on the mean but not in a second. What would be won is small: servers
-//! fail for all members that use them, and a member alone with its trouble (a cut link) is alone with the facts too.
+//! Members do not lend each other the budget that they do not use. A fraction of first attempts is a rate.
+//! The lender would have to lower its own fraction before the borrower may raise its own. The borrowed
+//! fraction would apply to the borrower's first attempts of the next period, whose number is not known yet
+//! at the time of the loan. So the limit would hold on average but not in every second. The gain would be
+//! small: a server fails for all members that use it, and a member whose fault is its own, such as a cut
+//! link, does not receive the gossip either.
 
 use crate::api::{Allowance, Budgets, MemberId};
 use crate::rendezvous;
 
 use super::figures::Rates;
 
-/// What a fleet may have saved up whatever its size, beside one further send for each member: a member that had none
-/// could never retry.
-const FLEET_SAVES: u64 = 64;
+/// The part of the cluster's burst that does not depend on the number of members. In addition, every
+/// configured member counts for one send, because a member without any burst could never retry.
+const BASE_BURST: u64 = 64;
 
-/// Second copies end at this level: what is short then is room, and a copy takes that of a first send.
-const NO_COPIES_AT: f64 = 0.25;
+/// The shedding level at which hedging stops. While the cluster sheds, capacity is short, and a hedge takes
+/// capacity from a first attempt.
+const NO_HEDGES_LEVEL: f64 = 0.25;
 
-/// Members take turns over so many slices of the time that refused clients stay away.
+/// The maximum number of slices into which the Retry-After interval is divided. The members take turns with
+/// the slices.
 const SLICES: usize = 16;
 
-/// Further sends that all configured members together may have saved up, of a kind.
+/// Returns the burst of all configured members together: how many retries, or how many hedges, they may
+/// have saved up.
 pub fn cluster_burst(members: usize) -> u64 {
-    FLEET_SAVES + members as u64
+    BASE_BURST + members as u64
 }
 
-/// What a member may have saved up by right.
+/// A member's shares of the cluster's bursts.
 #[derive(Debug, Clone, Copy)]
 pub struct BurstShares {
     retries: u32,
-    copies: u32,
+    hedges: u32,
 }
 
 impl BurstShares {
-    /// Those of one of the configured members.
+    /// Returns the shares of `me`, which is one of the configured members.
     pub fn new(me: MemberId, members: &[MemberId]) -> BurstShares {
-        let right = |key: u64| {
+        let share_of = |key: u64| {
             let shares = rendezvous::split(cluster_burst(members.len()), key, members);
-            let mine = members.iter().zip(shares).find(|(member, _)| **member == me);
-            mine.map_or(0, |(_, share)| u32::try_from(share).unwrap_or(u32::MAX))
+            let own = members.iter().zip(shares).find(|(member, _)| **member == me);
+            own.map_or(0, |(_, share)| u32::try_from(share).unwrap_or(u32::MAX))
         };
         BurstShares {
-            retries: right(u64::from_be_bytes(*b"retries_")),
-            copies: right(u64::from_be_bytes(*b"copies__")),
+            retries: share_of(u64::from_be_bytes(*b"retries_")),
+            hedges: share_of(u64::from_be_bytes(*b"copies__")),
         }
     }
 
-    /// Retries and second copies that this member may make, by its own rates and the level.
+    /// Returns the retries and the hedged requests that this member may send, by its own rates and the
+    /// shedding level.
     pub fn allowances(&self, budgets: &Budgets, own: &[Rates], level: f64) -> [Allowance; 2] {
-        let first_tries: f64 = own.iter().map(|rates| rates.first_tries).sum();
-        let allowance = |share: f64, right: u32| {
+        let first_attempts: f64 = own.iter().map(|rates| rates.first_tries).sum();
+        let allowance = |share: f64, burst_share: u32| {
             let share = if share.is_finite() { share.max(0.0) } else { 0.0 };
-            // No more than a second's earnings are saved up, so that few first tries do not save for a bad hour. The cast
+            // The burst is limited to what one second of first attempts adds to the budget, so that a
+            // member with little traffic cannot save up over a long time and spend it all at once. The cast
             // saturates.
-            let second = (share * first_tries).ceil().max(1.0) as u32;
-            Allowance { share, burst: if share > 0.0 { right.min(second) } else { 0 } }
+            let per_second = (share * first_attempts).ceil().max(1.0) as u32;
+            Allowance { share, burst: if share > 0.0 { burst_share.min(per_second) } else { 0 } }
         };
-        let copies = budgets.hedges * (1.0 - level / NO_COPIES_AT).max(0.0);
-        [allowance(budgets.retries, self.retries), allowance(copies, self.copies)]
+        let hedges = budgets.hedges * (1.0 - level / NO_HEDGES_LEVEL).max(0.0);
+        [allowance(budgets.retries, self.retries), allowance(hedges, self.hedges)]
     }
 }
 
-/// The slice of the time that refused clients stay away which is this member's at its `turn`: by its rank among the
-/// living, and one further each turn, so that no member's clients always wait longest.
-pub fn retry_after_range(me: MemberId, living: &[MemberId], turn: u64) -> [f64; 2] {
-    let slices = living.len().clamp(1, SLICES);
-    let rank = living.iter().filter(|&&member| member < me).count();
+/// Returns the slice of the Retry-After interval that this member uses in its period number `turn`, as
+/// start and end fractions. The slice depends on the member's rank among the alive members. It advances by
+/// one in each period, so that it is not always the clients of the same member that wait longest.
+pub fn retry_after_range(me: MemberId, alive: &[MemberId], turn: u64) -> [f64; 2] {
+    let slices = alive.len().clamp(1, SLICES);
+    let rank = alive.iter().filter(|&&member| member < me).count();
     let slice = ((rank as u64 + turn) % slices as u64) as f64;
     [slice / slices as f64, (slice + 1.0) / slices as f64]
 }
@@ -79,38 +90,38 @@
     use super::*;
 
     #[test]
-    fn what_all_may_save_up_adds_up_to_the_bound_and_nobody_is_without() {
+    fn bursts_add_up_to_the_limit_and_every_member_has_a_share() {
         let rates = [Rates { first_tries: 1e6, ..Rates::default() }];
         for count in [1_u16, 7, 300, 1_000] {
             let members: Vec<MemberId> = (0..count).map(MemberId).collect();
             let budgets = Budgets { retries: 0.1, hedges: 0.05 };
-            let allowed: Vec<[Allowance; 2]> = members
+            let allowances: Vec<[Allowance; 2]> = members
                 .iter()
                 .map(|&me| BurstShares::new(me, &members).allowances(&budgets, &rates, 0.0))
                 .collect();
             for kind in 0..2 {
-                let sum: u64 = allowed.iter().map(|allowed| u64::from(allowed[kind].burst)).sum();
+                let sum: u64 = allowances.iter().map(|allowances| u64::from(allowances[kind].burst)).sum();
                 assert_eq!(sum, cluster_burst(members.len()));
-                assert!(allowed.iter().all(|allowed| allowed[kind].burst > 0));
+                assert!(allowances.iter().all(|allowances| allowances[kind].burst > 0));
             }
             let slow = [Rates { first_tries: 20.0, ..Rates::default() }];
-            let [retries, copies] = BurstShares::new(members[0], &members).allowances(&budgets, &slow, 0.5);
+            let [retries, hedges] = BurstShares::new(members[0], &members).allowances(&budgets, &slow, 0.5);
             assert!(retries.burst <= 2 && retries.share == 0.1);
-            assert_eq!(copies, Allowance { share: 0.0, burst: 0 });
+            assert_eq!(hedges, Allowance { share: 0.0, burst: 0 });
         }
     }
 
     #[test]
     fn slices_are_spread_evenly_over_members_and_turns() {
-        let living: Vec<MemberId> = (0..160).map(|n| MemberId(n * 3)).collect();
+        let alive: Vec<MemberId> = (0..160).map(|n| MemberId(n * 3)).collect();
         let mut starts = [0; SLICES];
-        for me in &living {
-            let [from, to] = retry_after_range(*me, &living, 5);
+        for me in &alive {
+            let [from, to] = retry_after_range(*me, &alive, 5);
             assert!(from >= 0.0 && to <= 1.0 && (to - from - 1.0 / 16.0).abs() < 1e-9);
             starts[(from * 16.0).round() as usize] += 1;
         }
         assert_eq!(starts, [10; SLICES]);
-        assert_ne!(retry_after_range(living[3], &living, 5), retry_after_range(living[3], &living, 6));
+        assert_ne!(retry_after_range(alive[3], &alive, 5), retry_after_range(alive[3], &alive, 6));
         assert_eq!(retry_after_range(MemberId(4), &[MemberId(4)], 9), [0.0, 1.0]);
     }
 }
