--- a/crates/peers/src/overload/admission.rs
+++ b/crates/peers/src/overload/admission.rs
@@ -7,7 +7,7 @@
 
 use crate::api::ClassPriority;
 
-use super::figures::Rates;
+use super::rates::Rates;
 
 /// Classes whose earnings for their work differ by less than this, as a logarithm, share their parts more or less: two
 /// that hardly differ must not change places by a member's idea of their service times.
@@ -92,7 +92,10 @@
     use super::*;
 
     fn classes(times: &[f64]) -> Vec<Rates> {
-        times.iter().map(|&service_ms| Rates { first_tries: 10.0, service_ms, ..Rates::default() }).collect()
+        times
+            .iter()
+            .map(|&service_ms| Rates { first_attempts: 10.0, service_ms, ..Rates::default() })
+            .collect()
     }
 
     fn worth(worth: &[f64], by_work: bool) -> Vec<ClassPriority> {
--- a/crates/peers/src/overload/budgets.rs
+++ b/crates/peers/src/overload/budgets.rs
@@ -12,7 +12,7 @@
 use crate::api::{Allowance, Budgets, MemberId};
 use crate::rendezvous;
 
-use super::figures::Rates;
+use super::rates::Rates;
 
 /// What a fleet may have saved up whatever its size, beside one further send for each member: a member that had none
 /// could never retry.
@@ -52,7 +52,7 @@
 
     /// Retries and second copies that this member may make, by its own rates and the level.
     pub fn allowed(&self, budgets: &Budgets, own: &[Rates], level: f64) -> [Allowance; 2] {
-        let first_tries: f64 = own.iter().map(|rates| rates.first_tries).sum();
+        let first_tries: f64 = own.iter().map(|rates| rates.first_attempts).sum();
         let allowance = |share: f64, right: u32| {
             let share = if share.is_finite() { share.max(0.0) } else { 0.0 };
             // No more than a second's earnings are saved up, so that few first tries do not save for a bad hour. The cast
@@ -80,7 +80,7 @@
 
     #[test]
     fn what_all_may_save_up_adds_up_to_the_bound_and_nobody_is_without() {
-        let rates = [Rates { first_tries: 1e6, ..Rates::default() }];
+        let rates = [Rates { first_attempts: 1e6, ..Rates::default() }];
         for count in [1_u16, 7, 300, 1_000] {
             let members: Vec<MemberId> = (0..count).map(MemberId).collect();
             let budgets = Budgets { retries: 0.1, hedges: 0.05 };
@@ -91,7 +91,7 @@
                 assert_eq!(sum, fleet_burst(members.len()));
                 assert!(allowed.iter().all(|allowed| allowed[kind].burst > 0));
             }
-            let slow = [Rates { first_tries: 20.0, ..Rates::default() }];
+            let slow = [Rates { first_attempts: 20.0, ..Rates::default() }];
             let [retries, copies] = Rights::new(members[0], &members).allowed(&budgets, &slow, 0.5);
             assert!(retries.burst <= 2 && retries.share == 0.1);
             assert_eq!(copies, Allowance { share: 0.0, burst: 0 });
--- a/crates/peers/src/overload/level.rs
+++ b/crates/peers/src/overload/level.rs
@@ -9,8 +9,8 @@
 use crate::api::Millis;
 
 use super::admission::Order;
-use super::figures::Rates;
-use super::fleet::{Means, Word, trimmed};
+use super::peer_loads::{ClusterMeans, LevelReport, trimmed_mean};
+use super::rates::Rates;
 
 /// The share of what is let in that may find no room: with less, servers stand idle between requests.
 pub const TARGET: f64 = 0.05;
@@ -84,9 +84,9 @@
 
 /// The level at one member.
 #[derive(Debug, Default)]
-pub struct Level {
+pub struct SheddingLevel {
     level: f64,
-    wants: f64,
+    desired: f64,
     capacity: Option<f64>,
     unmet: Unmet,
     usual_failed: Vec<f64>,
@@ -98,19 +98,19 @@
     note: Option<String>,
 }
 
-impl Level {
+impl SheddingLevel {
     /// The level now.
     pub fn level(&self) -> f64 {
         self.level
     }
 
     /// What others should hear of it.
-    pub fn word(&self) -> Word {
-        Word { level: self.level, wants: self.wants, capacity: self.capacity }
+    pub fn word(&self) -> LevelReport {
+        LevelReport { level: self.level, desired: self.desired, capacity: self.capacity }
     }
 
     /// Why it moved, where that is new.
-    pub fn note(&mut self) -> Option<String> {
+    pub fn take_note(&mut self) -> Option<String> {
         self.note.take()
     }
 
@@ -119,20 +119,27 @@
         let level = (self.level - SPEED_DOWN * passed_s).max(0.0);
         let note =
             (self.level > 0.0 && level == 0.0).then(|| "no peer is heard: no shedding as one".to_string());
-        *self = Level { level, note: note.or(self.note.take()), ..Level::default() };
+        *self = SheddingLevel { level, note: note.or(self.note.take()), ..SheddingLevel::default() };
     }
 
     /// Moves on by a period that took so many seconds.
-    pub fn step(&mut self, now: Millis, passed_s: f64, means: &Means, words: &[Word], order: &Order) {
+    pub fn step(
+        &mut self,
+        now: Millis,
+        passed_s: f64,
+        means: &ClusterMeans,
+        words: &[LevelReport],
+        order: &Order,
+    ) {
         self.look(&means.classes, passed_s);
         let offered: f64 = means.classes.iter().map(|rates| rates.arrivals() * work(rates)).sum();
         self.learn(now, passed_s, means, words);
         let share = self.capacity.map_or(0.0, |capacity| 1.0 - capacity / offered.max(1e-9));
-        self.wants = order.level_for(share, &means.classes);
-        let wanted = words.iter().map(|word| word.wants).chain([self.wants]).collect();
-        let goal = trimmed(wanted).unwrap_or(0.0).clamp(0.0, 1.0);
-        let others = trimmed(words.iter().map(|word| word.level).collect()).unwrap_or(self.level);
-        let still = self.wants == 0.0 && goal < NOUGHT;
+        self.desired = order.level_for(share, &means.classes);
+        let wanted = words.iter().map(|word| word.desired).chain([self.desired]).collect();
+        let goal = trimmed_mean(wanted).unwrap_or(0.0).clamp(0.0, 1.0);
+        let others = trimmed_mean(words.iter().map(|word| word.level).collect()).unwrap_or(self.level);
+        let still = self.desired == 0.0 && goal < NOUGHT;
         let way = if still { -self.level } else { goal - self.level };
         let step = if still { way } else { way * ((way.abs() - NEAR) / FAR).clamp(GENTLY, 1.0) };
         let drawn = if still { 0.0 } else { TOGETHER * (others - self.level).clamp(-NEAR, NEAR) };
@@ -147,14 +154,14 @@
         let average = 1.0 - (-passed_s / AVERAGED_S).exp();
         let mut shares: Vec<(f64, f64)> = Vec::with_capacity(classes.len());
         for (rates, usual) in classes.iter().zip(&mut self.usual_failed) {
-            if rates.let_in <= 0.0 {
+            if rates.admitted <= 0.0 {
                 continue;
             }
-            let failed = (rates.failed / rates.let_in).clamp(0.0, 1.0);
+            let failed = (rates.failed / rates.admitted).clamp(0.0, 1.0);
             let over = if failed > *usual { USUAL_UP_S } else { USUAL_DOWN_S };
             *usual += (failed - *usual) * (1.0 - (-passed_s / over).exp());
-            let refused = rates.no_room() / rates.let_in;
-            shares.push(((refused + failed - *usual).clamp(-1.0, 1.0), rates.let_in * work(rates)));
+            let refused = rates.capacity_rejections() / rates.admitted;
+            shares.push(((refused + failed - *usual).clamp(-1.0, 1.0), rates.admitted * work(rates)));
         }
         shares.sort_by(|one, other| one.0.total_cmp(&other.0));
         let total: f64 = shares.iter().map(|(_, weight)| weight).sum();
@@ -165,8 +172,8 @@
         });
         let unmet = counts.map_or(0.0, |(share, _)| *share);
         self.unmet.refused_or_failed += average * (unmet - self.unmet.refused_or_failed);
-        let held: f64 = classes.iter().map(|rates| rates.held).sum();
-        let let_in: f64 = classes.iter().map(|rates| rates.let_in).sum();
+        let held: f64 = classes.iter().map(|rates| rates.in_flight).sum();
+        let let_in: f64 = classes.iter().map(|rates| rates.admitted).sum();
         let grown = self.held.map_or(0.0, |before| (held - before) / passed_s);
         let growth = if let_in > 0.0 { (grown / let_in).clamp(-1.0, 1.0) } else { 0.0 };
         self.held = Some(held);
@@ -175,14 +182,14 @@
     }
 
     /// Begins, corrects or forgets the capacity.
-    fn learn(&mut self, now: Millis, passed_s: f64, means: &Means, words: &[Word]) {
+    fn learn(&mut self, now: Millis, passed_s: f64, means: &ClusterMeans, words: &[LevelReport]) {
         let unmet = self.unmet.all();
-        let let_in: f64 = means.classes.iter().map(|rates| rates.let_in * work(rates)).sum();
+        let let_in: f64 = means.classes.iter().map(|rates| rates.admitted * work(rates)).sum();
         let others: Vec<f64> =
             words.iter().filter_map(|word| word.capacity).filter(|&known| known > 0.0).collect();
-        let shedding = words.iter().filter(|word| word.capacity.is_some() && word.wants > 0.0).count();
+        let shedding = words.iter().filter(|word| word.capacity.is_some() && word.desired > 0.0).count();
         let most_shed = 2 * shedding > words.len();
-        let others = trimmed(others);
+        let others = trimmed_mean(others);
         let Some(capacity) = self.capacity else {
             let since = *self.crowded_since.get_or_insert(now);
             if unmet <= ENGAGE {
@@ -211,7 +218,7 @@
         };
         let drawn = others.map_or(0.0, |others| DRAWN * (others / capacity).ln().clamp(-1.0, 1.0));
         self.capacity = Some((capacity * (rate * passed_s + drawn).exp()).clamp(1e-6, 1e12));
-        let quiet = self.level == 0.0 && self.wants == 0.0;
+        let quiet = self.level == 0.0 && self.desired == 0.0;
         let since = *self.quiet_since.get_or_insert(now);
         if !quiet {
             self.quiet_since = None;
@@ -221,7 +228,7 @@
     }
 
     /// Writes a line where shedding began, ended, or moved far since the last line.
-    fn tell(&mut self, now: Millis, means: &Means) {
+    fn tell(&mut self, now: Millis, means: &ClusterMeans) {
         let (at, before) = self.told.unwrap_or((0, 0.0));
         let turned = (before == 0.0) != (self.level == 0.0);
         let passed = now.saturating_sub(at);
@@ -235,7 +242,7 @@
             "level of shedding {before:.2} -> {:.2}, wanted {:.2}: of what was let in {:.0}% found no room or failed, \
              held work grows by {:.0}% of it a second, by the figures of {} members",
             self.level,
-            self.wants,
+            self.desired,
             100.0 * self.unmet.refused_or_failed,
             100.0 * self.unmet.growth,
             means.members,
--- a/crates/peers/src/overload/mod.rs
+++ b/crates/peers/src/overload/mod.rs
@@ -1,6 +1,6 @@
 //! Overload met by all members alike.
 //!
-//! Members tell each other what they did, by class ([`figures`]). Each takes means over those that it heard ([`fleet`])
+//! Members tell each other what they did, by class ([`rates`]). Each takes means over those that it heard ([`peer_loads`])
 //! and follows one level of shedding from them ([`level`]), which the members' words keep together. From the level comes
 //! the chance that a class is let in ([`admission`]): the same at all members, so that none refuses a dear request while
 //! another serves a cheap one. Further sends have one budget ([`budgets`]), and each server has few members that ask for its
@@ -19,9 +19,9 @@
 mod admission;
 mod budgets;
 mod duties;
-mod figures;
-mod fleet;
 mod level;
+mod peer_loads;
+mod rates;
 #[cfg(test)]
 mod tests;
 
@@ -31,20 +31,20 @@
 use admission::Order;
 use budgets::Rights;
 use duties::Duties;
-use figures::Own;
-use fleet::{Table, Word};
-use level::Level;
+use level::SheddingLevel;
+use peer_loads::{LevelReport, PeerLoads};
+use rates::OwnRates;
 
 /// Who has heard nobody for so long is alone.
-pub const ALONE_AFTER: Millis = 3_000;
+pub const ISOLATED_AFTER: Millis = 3_000;
 
 /// What a member knows of the fleet's load, and what it makes of it.
 #[derive(Debug)]
 pub struct Overload {
     config: Arc<Config>,
-    own: Own,
-    table: Table,
-    level: Level,
+    own: OwnRates,
+    table: PeerLoads,
+    level: SheddingLevel,
     duties: Duties,
     rights: Rights,
     /// What was let in, by class, since the last decision.
@@ -59,9 +59,9 @@
         let members: Vec<MemberId> = (0..=u16::MAX).take(config.members.len()).map(MemberId).collect();
         Overload {
             rights: Rights::new(config.me, &members),
-            own: Own::default(),
-            table: Table::default(),
-            level: Level::default(),
+            own: OwnRates::default(),
+            table: PeerLoads::default(),
+            level: SheddingLevel::default(),
             duties: Duties::default(),
             admit: Vec::new(),
             decided: None,
@@ -73,7 +73,7 @@
     /// Takes what this member's process did since the last time, by class, and gives what others should hear of it.
     /// `refused` counts what the level turned away and what found no room, but not what residency forbade: no
     /// shedding makes room for that.
-    pub fn counted(&mut self, now: Millis, counts: &[ClassCounts]) -> Vec<Fact> {
+    pub fn record_counts(&mut self, now: Millis, counts: &[ClassCounts]) -> Vec<Fact> {
         let counts = counts.get(..self.config.classes.len()).unwrap_or(counts);
         self.own.count(now, counts, &self.admit, self.config.timing.period);
         self.own.facts()
@@ -81,18 +81,18 @@
 
     /// Takes a fact of another member: LOAD, LEVEL, REPORT or TRIAL; others are left alone. `now` is when it was said,
     /// as far as its age is known, else when it came.
-    pub fn heard(&mut self, now: Millis, owner: MemberId, fact: &Fact) {
+    pub fn handle_fact(&mut self, now: Millis, owner: MemberId, fact: &Fact) {
         if owner == self.config.me || usize::from(owner.0) >= self.config.members.len() {
             return;
         }
         match fact.kind {
             FactKind::LOAD => {
-                if let Some((first, rates)) = figures::read(fact) {
+                if let Some((first, rates)) = rates::parse_load_fact(fact) {
                     self.table.load(now, owner, first, rates, self.config.classes.len());
                 }
             }
             FactKind::SHEDDING_LEVEL => {
-                if let Some(word) = word_of(fact) {
+                if let Some(word) = parse_level_fact(fact) {
                     self.table.word(now, owner, word);
                 }
             }
@@ -101,17 +101,17 @@
     }
 
     /// Takes all servers that the module may use.
-    pub fn servers(&mut self, now: Millis, servers: &[KnownServer]) {
+    pub fn set_servers(&mut self, now: Millis, servers: &[KnownServer]) {
         self.duties.servers(now, servers);
     }
 
     /// A server told its load to this member: what others should hear, if it was this member's duty to ask.
-    pub fn reported(&mut self, now: Millis, server: ServerKey, report: LoadReport) -> Option<Fact> {
+    pub fn handle_load_report(&mut self, now: Millis, server: ServerKey, report: LoadReport) -> Option<Fact> {
         self.duties.reported(now, server, report)
     }
 
     /// A trial of an ejected server by this member ended: what others should hear.
-    pub fn tried(&mut self, now: Millis, server: ServerKey, well: bool) -> Option<Fact> {
+    pub fn handle_probe_result(&mut self, now: Millis, server: ServerKey, well: bool) -> Option<Fact> {
         self.duties.tried(now, server, well)
     }
 
@@ -129,7 +129,7 @@
         living.push(me);
         self.duties.living(now, me, living);
         let living = self.duties.all();
-        let heard = self.table.last_heard().is_some_and(|at| now.saturating_sub(at) <= ALONE_AFTER);
+        let heard = self.table.last_heard().is_some_and(|at| now.saturating_sub(at) <= ISOLATED_AFTER);
         let together = heard && living.len() > 1;
         let classes = self.config.classes.len();
         let means = self.table.means(now, &self.own.rates, classes);
@@ -142,7 +142,7 @@
         }
         let level = self.level.level();
         self.admit = if level > 0.0 { order.admit(level) } else { Vec::new() };
-        let fact = said(self.level.word()).into_iter().collect();
+        let fact = level_fact(self.level.word()).into_iter().collect();
         let mut guidance = Guidance { admit: self.admit.clone(), level, ..Guidance::default() };
         if together {
             let [retries, copies] = self.rights.allowed(&self.config.budgets, &self.own.rates, level);
@@ -161,31 +161,36 @@
     }
 
     /// Why the level moved, where there is something new to tell: rare by itself.
-    pub fn note(&mut self) -> Option<String> {
-        self.level.note()
+    pub fn take_note(&mut self) -> Option<String> {
+        self.level.take_note()
     }
 }
 
 /// A word on the level as a fact's body: the two levels in 65,535ths, the capacity by its code, 0 for none.
 #[derive(Serialize, Deserialize)]
-struct Said {
+struct EncodedLevelReport {
     level: u16,
-    wants: u16,
+    desired: u16,
     capacity: u16,
 }
 
-fn said(word: Word) -> Option<Fact> {
+fn level_fact(word: LevelReport) -> Option<Fact> {
     // The casts stay in range.
     let part = |level: f64| (level.clamp(0.0, 1.0) * f64::from(u16::MAX)).round() as u16;
-    let capacity = word.capacity.map_or(0, |capacity| figures::code(capacity).max(1));
-    let body =
-        postcard::to_allocvec(&Said { level: part(word.level), wants: part(word.wants), capacity }).ok()?;
+    let capacity = word.capacity.map_or(0, |capacity| rates::code(capacity).max(1));
+    let body = postcard::to_allocvec(&EncodedLevelReport {
+        level: part(word.level),
+        desired: part(word.desired),
+        capacity,
+    })
+    .ok()?;
     Some(Fact { kind: FactKind::SHEDDING_LEVEL, key: 0, body })
 }
 
-fn word_of(fact: &Fact) -> Option<Word> {
-    let (Said { level, wants, capacity }, rest) = postcard::take_from_bytes(&fact.body).ok()?;
+fn parse_level_fact(fact: &Fact) -> Option<LevelReport> {
+    let (EncodedLevelReport { level, desired, capacity }, rest) =
+        postcard::take_from_bytes(&fact.body).ok()?;
     let part = |level: u16| f64::from(level) / f64::from(u16::MAX);
-    let capacity = (capacity > 0).then(|| figures::figure(capacity));
-    rest.is_empty().then_some(Word { level: part(level), wants: part(wants), capacity })
+    let capacity = (capacity > 0).then(|| rates::figure(capacity));
+    rest.is_empty().then_some(LevelReport { level: part(level), desired: part(desired), capacity })
 }
--- a/crates/peers/src/overload/fleet.rs
+++ b/crates/peers/src/overload/peer_loads.rs
@@ -5,7 +5,7 @@
 
 use crate::api::{MemberId, Millis};
 
-use super::figures::Rates;
+use super::rates::Rates;
 
 /// Members whose figures are kept: enough for means within some hundredths, and a bound on memory and work in a
 /// fleet of any size.
@@ -31,40 +31,40 @@
 
 /// What a member's word on the level was.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Word {
+pub struct LevelReport {
     /// The level that it goes by.
     pub level: f64,
     /// The level that its own figures ask for.
-    pub wants: f64,
+    pub desired: f64,
     /// What it thinks the fleet's servers can do, for each member, in milliseconds of work a second; none where it sees
     /// no overload.
     pub capacity: Option<f64>,
 }
 
 #[derive(Debug, Default)]
-struct Heard {
+struct PeerLoad {
     rates: Vec<Rates>,
     rates_at: Option<Millis>,
-    word: Option<(Millis, Word)>,
+    word: Option<(Millis, LevelReport)>,
     at: Millis,
 }
 
 /// The newest figures of some members.
 #[derive(Debug, Default)]
-pub struct Table {
-    heard: BTreeMap<MemberId, Heard>,
+pub struct PeerLoads {
+    heard: BTreeMap<MemberId, PeerLoad>,
 }
 
 /// Means over the members heard, for each member.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Means {
+pub struct ClusterMeans {
     /// By class; the service times are the medians of those known, so that they mean the same to all.
     pub classes: Vec<Rates>,
     /// How many members these come from.
     pub members: usize,
 }
 
-impl Table {
+impl PeerLoads {
     /// Takes some classes' rates of a member.
     pub fn load(&mut self, at: Millis, owner: MemberId, first: usize, rates: Vec<Rates>, classes: usize) {
         let heard = self.entry(at, owner);
@@ -76,7 +76,7 @@
     }
 
     /// Takes a member's word on the level.
-    pub fn word(&mut self, at: Millis, owner: MemberId, word: Word) {
+    pub fn word(&mut self, at: Millis, owner: MemberId, word: LevelReport) {
         self.entry(at, owner).word = Some((at, word));
     }
 
@@ -91,16 +91,17 @@
     }
 
     /// The newest words of members.
-    pub fn words(&self, now: Millis) -> Vec<Word> {
+    pub fn words(&self, now: Millis) -> Vec<LevelReport> {
         let aged = self.heard.values().filter_map(|heard| heard.word);
-        let mut words: Vec<(Millis, Word)> = aged.map(|(at, word)| (now.saturating_sub(at), word)).collect();
+        let mut words: Vec<(Millis, LevelReport)> =
+            aged.map(|(at, word)| (now.saturating_sub(at), word)).collect();
         words.retain(|(age, _)| *age <= WORD_COUNTS);
         words.sort_by_key(|(age, _)| *age);
         words.into_iter().take(WORDS).map(|(_, word)| word).collect()
     }
 
     /// Means over the members heard and our own figures, which weigh as those of a member just heard.
-    pub fn means(&self, now: Millis, own: &[Rates], classes: usize) -> Means {
+    pub fn means(&self, now: Millis, own: &[Rates], classes: usize) -> ClusterMeans {
         let mut members: Vec<(f64, &[Rates])> = vec![(1.0, own)];
         for heard in self.heard.values() {
             let age = heard.rates_at.map_or(Millis::MAX, |at| now.saturating_sub(at));
@@ -120,17 +121,17 @@
         for ((share, rates), [load, held, unmet]) in members.iter().zip(factors) {
             weight += share;
             for (sum, rates) in sum.iter_mut().zip(*rates) {
-                let counted = rates.with_unmet(unmet).scaled(share * load);
-                *sum = sum.plus(Rates { held: rates.held * share * held, ..counted });
+                let counted = rates.scale_unmet(unmet).scaled(share * load);
+                *sum = sum.plus(Rates { in_flight: rates.in_flight * share * held, ..counted });
             }
         }
         let classes = sum.into_iter().zip(service_ms);
         let classes =
             classes.map(|(sum, service_ms)| Rates { service_ms, ..sum.scaled(1.0 / weight) }).collect();
-        Means { classes, members: members.len() }
+        ClusterMeans { classes, members: members.len() }
     }
 
-    fn entry(&mut self, at: Millis, owner: MemberId) -> &mut Heard {
+    fn entry(&mut self, at: Millis, owner: MemberId) -> &mut PeerLoad {
         if self.heard.len() >= KEPT && !self.heard.contains_key(&owner) {
             let oldest = self.heard.iter().min_by_key(|(_, heard)| heard.at).map(|(&owner, _)| owner);
             oldest.and_then(|oldest| self.heard.remove(&oldest));
@@ -147,8 +148,8 @@
     let totals: Vec<[f64; 3]> = (members.iter())
         .map(|(_, rates)| {
             let each = rates.iter().zip(service_ms).map(|(rates, time)| {
-                let unmet = rates.no_room().max(0.0) + rates.failed;
-                [rates.arrivals() * time.max(1.0), rates.held, unmet * time.max(1.0)]
+                let unmet = rates.capacity_rejections().max(0.0) + rates.failed;
+                [rates.arrivals() * time.max(1.0), rates.in_flight, unmet * time.max(1.0)]
             });
             each.fold([0.0; 3], |sum, each| std::array::from_fn(|n| sum[n] + each[n]))
         })
@@ -168,7 +169,7 @@
 }
 
 /// The mean of what lies in the middle: a fifth at each end is left out, of three or more at least one each.
-pub fn trimmed(mut figures: Vec<f64>) -> Option<f64> {
+pub fn trimmed_mean(mut figures: Vec<f64>) -> Option<f64> {
     figures.retain(|figure| figure.is_finite());
     figures.sort_by(f64::total_cmp);
     let out = if figures.len() < 3 { 0 } else { (figures.len() / 5).max(1) };
@@ -191,26 +192,31 @@
 
     #[test]
     fn one_member_moves_a_mean_by_its_own_share_at_most() {
-        let honest =
-            vec![Rates { first_tries: 50.0, refused: 1.0, held: 5.0, service_ms: 40.0, ..Rates::default() }];
+        let honest = vec![Rates {
+            first_attempts: 50.0,
+            rejected: 1.0,
+            in_flight: 5.0,
+            service_ms: 40.0,
+            ..Rates::default()
+        }];
         let hostile =
-            Rates { first_tries: 4e8, refused: 4e8, held: 4e8, service_ms: 4e8, ..Rates::default() };
+            Rates { first_attempts: 4e8, rejected: 4e8, in_flight: 4e8, service_ms: 4e8, ..Rates::default() };
         for others in [4_u16, 20, 100] {
-            let mut table = Table::default();
+            let mut table = PeerLoads::default();
             (1..others).for_each(|owner| table.load(0, MemberId(owner), 0, honest.clone(), 1));
             let before = table.means(0, &honest, 1).classes[0];
             table.load(0, MemberId(others), 0, vec![hostile], 1);
             let after = table.means(0, &honest, 1).classes[0];
             let share = CAP / f64::from(others + 1);
-            assert!(after.first_tries <= before.first_tries * (1.0 + share), "{after:?}");
-            assert!(after.held <= before.held * (1.0 + share), "{after:?}");
+            assert!(after.first_attempts <= before.first_attempts * (1.0 + share), "{after:?}");
+            assert!(after.in_flight <= before.in_flight * (1.0 + share), "{after:?}");
             assert_eq!(after.service_ms, 40.0);
         }
     }
 
     #[test]
     fn few_members_are_kept_and_the_oldest_go_first() {
-        let mut table = Table::default();
+        let mut table = PeerLoads::default();
         (0..1_000).for_each(|n| table.load(n, MemberId(n as u16), 0, vec![Rates::default()], 1));
         assert_eq!(table.means(1_000, &[], 1).members, KEPT + 1);
         assert!(table.heard.contains_key(&MemberId(999)) && !table.heard.contains_key(&MemberId(800)));
@@ -220,8 +226,8 @@
 
     #[test]
     fn ends_are_left_out_of_a_trimmed_mean() {
-        assert_eq!(trimmed(vec![0.5, 1e300, 0.3, 0.4, f64::NAN, -1e300, 0.4]), Some(0.4));
-        assert_eq!(trimmed(vec![9.0, 0.2, 0.1]), Some(0.2));
-        assert_eq!(trimmed(vec![]), None);
+        assert_eq!(trimmed_mean(vec![0.5, 1e300, 0.3, 0.4, f64::NAN, -1e300, 0.4]), Some(0.4));
+        assert_eq!(trimmed_mean(vec![9.0, 0.2, 0.1]), Some(0.2));
+        assert_eq!(trimmed_mean(vec![]), None);
     }
 }
--- a/crates/peers/src/overload/figures.rs
+++ b/crates/peers/src/overload/rates.rs
@@ -26,23 +26,23 @@
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Rates {
     /// First tries.
-    pub first_tries: f64,
+    pub first_attempts: f64,
     /// Repeats by clients.
-    pub repeats: f64,
+    pub client_retries: f64,
     /// What the level of shedding let in of both.
-    pub let_in: f64,
+    pub admitted: f64,
     /// Served.
     pub served: f64,
     /// Refused, by the level as well as for lack of room.
-    pub refused: f64,
+    pub rejected: f64,
     /// Failed or too late.
     pub failed: f64,
     /// Second and later sends.
     pub retries: f64,
-    /// Second copies.
-    pub copies: f64,
+    /// Hedged requests.
+    pub hedges: f64,
     /// Requests held.
-    pub held: f64,
+    pub in_flight: f64,
     /// Milliseconds that a mean server works on one; 0 where nothing is known.
     pub service_ms: f64,
 }
@@ -50,19 +50,19 @@
 impl Rates {
     /// What came in, a second.
     pub fn arrivals(&self) -> f64 {
-        self.first_tries + self.repeats
+        self.first_attempts + self.client_retries
     }
 
     /// What found no room, a second. What the level turned away is known but for chance, which may make this negative.
-    pub fn no_room(&self) -> f64 {
-        self.refused - (self.arrivals() - self.let_in)
+    pub fn capacity_rejections(&self) -> f64 {
+        self.rejected - (self.arrivals() - self.admitted)
     }
 
     /// The same, but for such a share of what found no room or failed.
-    pub fn with_unmet(self, share: f64) -> Rates {
-        let no_room = self.no_room();
+    pub fn scale_unmet(self, share: f64) -> Rates {
+        let no_room = self.capacity_rejections();
         let less = if no_room > 0.0 { no_room * (1.0 - share) } else { 0.0 };
-        Rates { refused: self.refused - less, failed: self.failed * share, ..self }
+        Rates { rejected: self.rejected - less, failed: self.failed * share, ..self }
     }
 
     /// All figures but the service time, which is no amount, times something.
@@ -92,38 +92,70 @@
         let came = self.arrivals();
         let most = 2.0 * came + 1.0;
         Rates {
-            let_in: self.let_in.min(came),
+            admitted: self.admitted.min(came),
             served: self.served.min(most),
-            refused: self.refused.min(most),
+            rejected: self.rejected.min(most),
             failed: self.failed.min(most),
             retries: self.retries.min(4.0 * most),
-            copies: self.copies.min(4.0 * most),
+            hedges: self.hedges.min(4.0 * most),
             ..self
         }
     }
 
     fn figures(self) -> [f64; FIGURES] {
-        let Rates { first_tries, repeats, let_in, served, refused, failed, .. } = self;
-        let Rates { retries, copies, held, service_ms, .. } = self;
-        [first_tries, repeats, let_in, served, refused, failed, retries, copies, held, service_ms]
+        let Rates { first_attempts, client_retries, admitted, served, rejected, failed, .. } = self;
+        let Rates { retries, hedges, in_flight, service_ms, .. } = self;
+        [
+            first_attempts,
+            client_retries,
+            admitted,
+            served,
+            rejected,
+            failed,
+            retries,
+            hedges,
+            in_flight,
+            service_ms,
+        ]
     }
 
     fn of(figures: [f64; FIGURES]) -> Rates {
-        let [first_tries, repeats, let_in, served, refused, failed, retries, copies, held, service_ms] =
-            figures;
-        Rates { first_tries, repeats, let_in, served, refused, failed, retries, copies, held, service_ms }
+        let [
+            first_attempts,
+            client_retries,
+            admitted,
+            served,
+            rejected,
+            failed,
+            retries,
+            hedges,
+            in_flight,
+            service_ms,
+        ] = figures;
+        Rates {
+            first_attempts,
+            client_retries,
+            admitted,
+            served,
+            rejected,
+            failed,
+            retries,
+            hedges,
+            in_flight,
+            service_ms,
+        }
     }
 }
 
 /// A member's own rates, from its counts.
 #[derive(Debug, Default)]
-pub struct Own {
+pub struct OwnRates {
     /// By class.
     pub rates: Vec<Rates>,
     counted: Option<Millis>,
 }
 
-impl Own {
+impl OwnRates {
     /// Takes what was counted since the last time, while the level let in `admit` of each class.
     pub fn count(&mut self, now: Millis, counts: &[ClassCounts], admit: &[f64], period: Millis) {
         // The first counts, and those of a process that stood still, say little about the second.
@@ -135,15 +167,15 @@
         for (number, (rates, counts)) in self.rates.iter_mut().zip(counts).enumerate() {
             let came = per_second(counts.first_attempts) + per_second(counts.client_retries);
             let seen = Rates {
-                first_tries: per_second(counts.first_attempts),
-                repeats: per_second(counts.client_retries),
-                let_in: came * admit.get(number).copied().unwrap_or(1.0),
+                first_attempts: per_second(counts.first_attempts),
+                client_retries: per_second(counts.client_retries),
+                admitted: came * admit.get(number).copied().unwrap_or(1.0),
                 served: per_second(counts.served),
-                refused: per_second(counts.rejected),
+                rejected: per_second(counts.rejected),
                 failed: per_second(counts.failed),
                 retries: per_second(counts.retries),
-                copies: per_second(counts.hedges),
-                held: f64::from(counts.in_flight),
+                hedges: per_second(counts.hedges),
+                in_flight: f64::from(counts.in_flight),
                 service_ms: 0.0,
             };
             // The module's own figure is averaged already.
@@ -156,7 +188,7 @@
     /// The rates as facts, as many pieces as the classes need.
     pub fn facts(&self) -> Vec<Fact> {
         let pieces = self.rates.chunks(CLASSES_A_PIECE).enumerate();
-        pieces.filter_map(|(piece, rates)| written(piece as u64, rates)).collect()
+        pieces.filter_map(|(piece, rates)| load_fact(piece as u64, rates)).collect()
     }
 }
 
@@ -164,14 +196,14 @@
 struct Piece(Vec<[u16; FIGURES]>);
 
 /// A piece of a member's rates as a fact.
-fn written(piece: u64, rates: &[Rates]) -> Option<Fact> {
+fn load_fact(piece: u64, rates: &[Rates]) -> Option<Fact> {
     let codes = rates.iter().map(|rates| rates.figures().map(code)).collect();
     let body = postcard::to_allocvec(&Piece(codes)).ok().filter(|body| body.len() <= MAX_FACT_BYTES)?;
     Some(Fact { kind: FactKind::LOAD, key: piece, body })
 }
 
 /// The number of the first class of a LOAD fact, and the rates of its classes; `None` for what makes no sense.
-pub fn read(fact: &Fact) -> Option<(usize, Vec<Rates>)> {
+pub fn parse_load_fact(fact: &Fact) -> Option<(usize, Vec<Rates>)> {
     if fact.kind != FactKind::LOAD || fact.body.len() > MAX_FACT_BYTES {
         return None;
     }
@@ -228,21 +260,21 @@
                 ..Default::default()
             })
             .collect();
-        let mut own = Own::default();
+        let mut own = OwnRates::default();
         own.count(1_000, &counts, &[0.5], 200);
         let facts = own.facts();
         assert_eq!(facts.len(), 3);
         assert!(facts.iter().all(|fact| fact.body.len() <= MAX_FACT_BYTES));
-        let (first, rates) = read(&facts[2]).unwrap();
+        let (first, rates) = parse_load_fact(&facts[2]).unwrap();
         assert_eq!((first, rates.len()), (14, 2));
-        assert!((rates[1].first_tries / 20_000_075.0 - 1.0).abs() < 0.001);
-        let half = read(&facts[0]).unwrap().1[0];
-        assert!((half.let_in / half.first_tries - 0.5).abs() < 0.001);
+        assert!((rates[1].first_attempts / 20_000_075.0 - 1.0).abs() < 0.001);
+        let half = parse_load_fact(&facts[0]).unwrap().1[0];
+        assert!((half.admitted / half.first_attempts - 0.5).abs() < 0.001);
         for broken in
             [vec![], vec![255; 160], facts[0].body[1..].to_vec(), [&facts[2].body[..], &[0]].concat()]
         {
-            assert_eq!(read(&Fact { body: broken, ..facts[0].clone() }), None);
+            assert_eq!(parse_load_fact(&Fact { body: broken, ..facts[0].clone() }), None);
         }
-        assert_eq!(read(&Fact { key: u64::MAX, ..facts[0].clone() }), None);
+        assert_eq!(parse_load_fact(&Fact { key: u64::MAX, ..facts[0].clone() }), None);
     }
 }
--- a/crates/peers/src/overload/tests.rs
+++ b/crates/peers/src/overload/tests.rs
@@ -158,11 +158,11 @@
                 let from = self.rng.random_range(0..count);
                 for fact in &before[from] {
                     if self.rng.random::<f64>() < 0.7 {
-                        self.members[member].heard(self.now - PERIOD / 2, MemberId(from as u16), fact);
+                        self.members[member].handle_fact(self.now - PERIOD / 2, MemberId(from as u16), fact);
                     }
                 }
             }
-            self.said[member] = self.members[member].counted(self.now, counts);
+            self.said[member] = self.members[member].record_counts(self.now, counts);
             let (guidance, words) = self.members[member].decide(self.now, MemberId(member as u16), &living);
             self.said[member].extend(words);
             self.levels[member] = guidance.level;
@@ -175,10 +175,10 @@
                 in_flight: u32::MAX,
                 ..Default::default()
             };
-            let mut liar = Own::default();
+            let mut liar = OwnRates::default();
             liar.count(self.now, &[ClassCounts { service_ms: 1e9, ..lies }; 3], &[], 1);
-            let word = Word { level: 1.0, wants: 1.0, capacity: Some(0.01) };
-            self.said[member] = liar.facts().into_iter().chain(said(word)).collect();
+            let word = LevelReport { level: 1.0, desired: 1.0, capacity: Some(0.01) };
+            self.said[member] = liar.facts().into_iter().chain(level_fact(word)).collect();
         }
     }
 
@@ -288,10 +288,11 @@
             && fleet.guidance[0].retry_after_range.is_some()
     );
     let living: Vec<MemberId> = (0..20).map(MemberId).collect();
-    let until = fleet.now + ALONE_AFTER + 2_000;
+    let until = fleet.now + ISOLATED_AFTER + 2_000;
     while fleet.now < until {
         fleet.now += PERIOD;
-        fleet.members[0].counted(fleet.now, &[ClassCounts { first_attempts: 9, ..Default::default() }; 3]);
+        fleet.members[0]
+            .record_counts(fleet.now, &[ClassCounts { first_attempts: 9, ..Default::default() }; 3]);
         let (guidance, said) = fleet.members[0].decide(fleet.now, MemberId(0), &living);
         assert!((guidance.level - level).abs() <= 0.31, "{level} to {}", guidance.level);
         assert_eq!(said.len(), 1, "who comes back must be told");
--- a/crates/peers/src/peer.rs
+++ b/crates/peers/src/peer.rs
@@ -133,20 +133,20 @@
                 self.observe_server(now, server, state, &mut outbox, outputs)
             }
             Input::Counts(counts) => {
-                let facts = self.overload.counted(now, &counts);
+                let facts = self.overload.record_counts(now, &counts);
                 self.publish(now, facts);
             }
             Input::Servers(servers) => {
-                self.overload.servers(now, &servers);
+                self.overload.set_servers(now, &servers);
                 self.leases.set_limits(now, servers.iter().filter_map(slow_start_limit));
                 self.servers = Some(servers);
             }
             Input::LoadReported { server, report } => {
-                let fact = self.overload.reported(now, server, report);
+                let fact = self.overload.handle_load_report(now, server, report);
                 self.publish(now, fact);
             }
             Input::EjectionProbeEnded { server, succeeded } => {
-                let fact = self.overload.tried(now, server, succeeded);
+                let fact = self.overload.handle_probe_result(now, server, succeeded);
                 self.publish(now, fact);
             }
             Input::Publish(fact) => self.publish(now, Some(fact)),
@@ -345,7 +345,7 @@
         let (mut guidance, facts) = self.overload.decide(now, self.config.me, self.membership.living());
         self.publish(now, facts);
         self.grant_slow_start(now, &mut guidance);
-        if let Some(line) = self.overload.note() {
+        if let Some(line) = self.overload.take_note() {
             outputs.push(Output::Log(line));
         }
         outputs.push(Output::Guidance(guidance));
@@ -404,18 +404,18 @@
             }
             FactKind::LOAD | FactKind::SHEDDING_LEVEL if withdrawn => {}
             FactKind::LOAD | FactKind::SHEDDING_LEVEL => {
-                self.overload.heard(now.saturating_sub(age), owner, &fact);
+                self.overload.handle_fact(now.saturating_sub(age), owner, &fact);
             }
             FactKind::LOAD_REPORT => {
                 if let Some(report) = overload::report_of(&fact) {
-                    self.overload.heard(now.saturating_sub(age), owner, &fact);
+                    self.overload.handle_fact(now.saturating_sub(age), owner, &fact);
                     outputs.push(Output::LoadReport { server, report, age });
                 }
             }
             FactKind::EJECTION_PROBE => {
                 let recent = age <= self.config.timing.period.saturating_mul(PROBE_RESULT_PERIODS);
                 if let Some(succeeded) = overload::trial_of(&fact).filter(|_| recent) {
-                    self.overload.heard(now.saturating_sub(age), owner, &fact);
+                    self.overload.handle_fact(now.saturating_sub(age), owner, &fact);
                     outputs.push(Output::EjectionProbeEnded { server, succeeded });
                 }
             }
