--- a/crates/peers/src/overload/level.rs
+++ b/crates/peers/src/overload/level.rs
@@ -105,7 +105,7 @@
     }
 
     /// What others should hear of it.
-    pub fn word(&self) -> LevelReport {
+    pub fn report(&self) -> LevelReport {
         LevelReport { level: self.level, desired: self.desired, capacity: self.capacity }
     }
 
@@ -115,8 +115,8 @@
     }
 
     /// Without others it fades, and what was learnt with them is forgotten.
-    pub fn alone(&mut self, passed_s: f64) {
-        let level = (self.level - SPEED_DOWN * passed_s).max(0.0);
+    pub fn decay(&mut self, elapsed_s: f64) {
+        let level = (self.level - SPEED_DOWN * elapsed_s).max(0.0);
         let note =
             (self.level > 0.0 && level == 0.0).then(|| "no peer is heard: no shedding as one".to_string());
         *self = SheddingLevel { level, note: note.or(self.note.take()), ..SheddingLevel::default() };
@@ -126,14 +126,14 @@
     pub fn step(
         &mut self,
         now: Millis,
-        passed_s: f64,
+        elapsed_s: f64,
         means: &ClusterMeans,
         words: &[LevelReport],
         order: &Order,
     ) {
-        self.look(&means.classes, passed_s);
+        self.look(&means.classes, elapsed_s);
         let offered: f64 = means.classes.iter().map(|rates| rates.arrivals() * work(rates)).sum();
-        self.learn(now, passed_s, means, words);
+        self.learn(now, elapsed_s, means, words);
         let share = self.capacity.map_or(0.0, |capacity| 1.0 - capacity / offered.max(1e-9));
         self.desired = order.level_for(share, &means.classes);
         let wanted = words.iter().map(|word| word.desired).chain([self.desired]).collect();
@@ -143,15 +143,15 @@
         let way = if still { -self.level } else { goal - self.level };
         let step = if still { way } else { way * ((way.abs() - NEAR) / FAR).clamp(GENTLY, 1.0) };
         let drawn = if still { 0.0 } else { TOGETHER * (others - self.level).clamp(-NEAR, NEAR) };
-        let step = (step + drawn).clamp(-SPEED_DOWN * passed_s, SPEED_UP * passed_s);
+        let step = (step + drawn).clamp(-SPEED_DOWN * elapsed_s, SPEED_UP * elapsed_s);
         self.level = (self.level + step).clamp(0.0, 1.0);
         self.tell(now, means);
     }
 
     /// What of the things let in found no room.
-    fn look(&mut self, classes: &[Rates], passed_s: f64) {
+    fn look(&mut self, classes: &[Rates], elapsed_s: f64) {
         self.usual_failed.resize(classes.len(), 0.0);
-        let average = 1.0 - (-passed_s / AVERAGED_S).exp();
+        let average = 1.0 - (-elapsed_s / AVERAGED_S).exp();
         let mut shares: Vec<(f64, f64)> = Vec::with_capacity(classes.len());
         for (rates, usual) in classes.iter().zip(&mut self.usual_failed) {
             if rates.admitted <= 0.0 {
@@ -159,7 +159,7 @@
             }
             let failed = (rates.failed / rates.admitted).clamp(0.0, 1.0);
             let over = if failed > *usual { USUAL_UP_S } else { USUAL_DOWN_S };
-            *usual += (failed - *usual) * (1.0 - (-passed_s / over).exp());
+            *usual += (failed - *usual) * (1.0 - (-elapsed_s / over).exp());
             let refused = rates.capacity_rejections() / rates.admitted;
             shares.push(((refused + failed - *usual).clamp(-1.0, 1.0), rates.admitted * work(rates)));
         }
@@ -174,7 +174,7 @@
         self.unmet.refused_or_failed += average * (unmet - self.unmet.refused_or_failed);
         let held: f64 = classes.iter().map(|rates| rates.in_flight).sum();
         let let_in: f64 = classes.iter().map(|rates| rates.admitted).sum();
-        let grown = self.held.map_or(0.0, |before| (held - before) / passed_s);
+        let grown = self.held.map_or(0.0, |before| (held - before) / elapsed_s);
         let growth = if let_in > 0.0 { (grown / let_in).clamp(-1.0, 1.0) } else { 0.0 };
         self.held = Some(held);
         // A change and its undoing make no growth: averaged over longer.
@@ -182,7 +182,7 @@
     }
 
     /// Begins, corrects or forgets the capacity.
-    fn learn(&mut self, now: Millis, passed_s: f64, means: &ClusterMeans, words: &[LevelReport]) {
+    fn learn(&mut self, now: Millis, elapsed_s: f64, means: &ClusterMeans, words: &[LevelReport]) {
         let unmet = self.unmet.all();
         let let_in: f64 = means.classes.iter().map(|rates| rates.admitted * work(rates)).sum();
         let others: Vec<f64> =
@@ -203,7 +203,7 @@
             (self.quiet_since, self.roomy_s) = (None, 0.0);
             return;
         };
-        self.roomy_s = if unmet < TARGET / 2.0 { self.roomy_s + passed_s } else { 0.0 };
+        self.roomy_s = if unmet < TARGET / 2.0 { self.roomy_s + elapsed_s } else { 0.0 };
         let faster = 1.0 + ROOMY_FASTER * (self.roomy_s - ROOMY_AFTER_S).max(0.0);
         // What was let in and found room is what servers can do, where there was less than was let in, and else at least
         // that. Where the level lets in all there is no telling.
@@ -217,7 +217,7 @@
             false => 0.0,
         };
         let drawn = others.map_or(0.0, |others| DRAWN * (others / capacity).ln().clamp(-1.0, 1.0));
-        self.capacity = Some((capacity * (rate * passed_s + drawn).exp()).clamp(1e-6, 1e12));
+        self.capacity = Some((capacity * (rate * elapsed_s + drawn).exp()).clamp(1e-6, 1e12));
         let quiet = self.level == 0.0 && self.desired == 0.0;
         let since = *self.quiet_since.get_or_insert(now);
         if !quiet {
--- a/crates/peers/src/overload/mod.rs
+++ b/crates/peers/src/overload/mod.rs
@@ -1,12 +1,16 @@
-//! Overload met by all members alike.
+//! Overload control: all members shed load by the same rule.
 //!
-//! Members tell each other what they did, by class ([`rates`]). Each takes means over those that it heard ([`peer_loads`])
-//! and follows one level of shedding from them ([`level`]), which the members' words keep together. From the level comes
-//! the chance that a class is let in ([`admission`]): the same at all members, so that none refuses a dear request while
-//! another serves a cheap one. Further sends have one budget ([`budgets`]), and each server has few members that ask for its
-//! load and one that tries it while it is ejected ([`duties`]).
+//! Each member publishes its request rates by class ([`rates`]). Each averages the rates of the members that it
+//! hears from ([`peer_loads`]) and derives a shedding level from the averages ([`level`]). Members also publish
+//! their levels, which keeps the levels close together. The level determines the admission probability of each
+//! class ([`admission`]). The probabilities are the same at all members, so that no member rejects a valuable
+//! request while another serves a cheap one.
 //!
-//! Whoever hears nobody leaves its module to itself.
+//! Retries and hedged requests share cluster-wide budgets ([`budgets`]). For each server, a few members poll its
+//! load, and one member probes it while it is ejected ([`duties`]).
+//!
+//! When a member hears from no other member, its level decays to 0. From then on it gives its module no guidance,
+//! and the module decides on its own.
 
 use std::sync::Arc;
 
@@ -35,52 +39,54 @@
 use peer_loads::{LevelReport, PeerLoads};
 use rates::OwnRates;
 
-/// Who has heard nobody for so long is alone.
+/// A member that has not heard from any other member for this long is isolated: its shedding level decays to 0.
 pub const ISOLATED_AFTER: Millis = 3_000;
 
-/// What a member knows of the fleet's load, and what it makes of it.
+/// The overload control of one member: what it knows of the cluster's load, and the guidance that follows.
 #[derive(Debug)]
 pub struct Overload {
     config: Arc<Config>,
     own: OwnRates,
-    table: PeerLoads,
+    peer_loads: PeerLoads,
     level: SheddingLevel,
     duties: Duties,
     rights: Rights,
-    /// What was let in, by class, since the last decision.
+    /// The admission probability of each class since the last decision. Empty if every request is admitted.
     admit: Vec<f64>,
-    decided: Option<Millis>,
-    turn: u64,
+    last_decision: Option<Millis>,
+    /// The number of decisions so far.
+    decisions: u64,
 }
 
 impl Overload {
-    /// A member that has heard nobody yet.
+    /// Creates the overload control of a member that has not heard from any other member yet.
     pub fn new(config: Arc<Config>, _now: Millis) -> Overload {
         let members: Vec<MemberId> = (0..=u16::MAX).take(config.members.len()).map(MemberId).collect();
         Overload {
             rights: Rights::new(config.me, &members),
             own: OwnRates::default(),
-            table: PeerLoads::default(),
+            peer_loads: PeerLoads::default(),
             level: SheddingLevel::default(),
             duties: Duties::default(),
             admit: Vec::new(),
-            decided: None,
-            turn: 0,
+            last_decision: None,
+            decisions: 0,
             config,
         }
     }
 
-    /// Takes what this member's process did since the last time, by class, and gives what others should hear of it.
-    /// `refused` counts what the level turned away and what found no room, but not what residency forbade: no
-    /// shedding makes room for that.
+    /// Records what this member's process did for each class since the previous call, and returns the facts to
+    /// publish. `rejected` counts requests rejected by the shedding level and for lack of capacity. It does not
+    /// count requests rejected by a residency rule, since shedding cannot free capacity for them.
     pub fn record_counts(&mut self, now: Millis, counts: &[ClassCounts]) -> Vec<Fact> {
         let counts = counts.get(..self.config.classes.len()).unwrap_or(counts);
         self.own.count(now, counts, &self.admit, self.config.timing.period);
         self.own.facts()
     }
 
-    /// Takes a fact of another member: LOAD, LEVEL, REPORT or TRIAL; others are left alone. `now` is when it was said,
-    /// as far as its age is known, else when it came.
+    /// Handles a fact of another member, of kind `LOAD`, `SHEDDING_LEVEL`, `LOAD_REPORT` or `EJECTION_PROBE`.
+    /// Other kinds are ignored. `now` is the time at which the owner published the fact if its age is known,
+    /// and otherwise the time at which it arrived.
     pub fn handle_fact(&mut self, now: Millis, owner: MemberId, fact: &Fact) {
         if owner == self.config.me || usize::from(owner.0) >= self.config.members.len() {
             return;
@@ -88,85 +94,90 @@
         match fact.kind {
             FactKind::LOAD => {
                 if let Some((first, rates)) = rates::parse_load_fact(fact) {
-                    self.table.load(now, owner, first, rates, self.config.classes.len());
+                    self.peer_loads.set_rates(now, owner, first, rates, self.config.classes.len());
                 }
             }
             FactKind::SHEDDING_LEVEL => {
-                if let Some(word) = parse_level_fact(fact) {
-                    self.table.word(now, owner, word);
+                if let Some(report) = parse_level_fact(fact) {
+                    self.peer_loads.set_level_report(now, owner, report);
                 }
             }
             _ => self.duties.heard(now, fact),
         }
     }
 
-    /// Takes all servers that the module may use.
+    /// Sets the servers that the module may use.
     pub fn set_servers(&mut self, now: Millis, servers: &[KnownServer]) {
         self.duties.servers(now, servers);
     }
 
-    /// A server told its load to this member: what others should hear, if it was this member's duty to ask.
+    /// Handles a load report that a server sent to this member. Returns the fact to publish if this member is
+    /// one of those that poll the server.
     pub fn handle_load_report(&mut self, now: Millis, server: ServerKey, report: LoadReport) -> Option<Fact> {
         self.duties.reported(now, server, report)
     }
 
-    /// A trial of an ejected server by this member ended: what others should hear.
-    pub fn handle_probe_result(&mut self, now: Millis, server: ServerKey, well: bool) -> Option<Fact> {
-        self.duties.tried(now, server, well)
+    /// Handles the end of this member's probe of an ejected server, and returns the fact to publish.
+    pub fn handle_probe_result(&mut self, now: Millis, server: ServerKey, succeeded: bool) -> Option<Fact> {
+        self.duties.tried(now, server, succeeded)
     }
 
-    /// Once a period: what the module should go by, and facts of this member to spread. `cold` is left absent. `living`
-    /// are the living members; this one counts among them whether named or not.
+    /// Decides on the guidance for the module and on the facts to publish. It is called once per period. `living`
+    /// lists the living members; this member counts as living even if it is not in the list. The guidance's
+    /// `slow_start` is left absent.
     pub fn decide(&mut self, now: Millis, me: MemberId, living: &[MemberId]) -> (Guidance, Vec<Fact>) {
         let period = self.config.timing.period;
-        let passed = self.decided.map_or(period, |at| now.saturating_sub(at));
-        // A process that stood still does not move the level by all that time at once.
-        let passed_s = passed.clamp(1, 5 * period.max(1)) as f64 / 1_000.0;
-        self.decided = Some(now);
-        self.turn += 1;
-        self.table.expire(now);
+        let elapsed = self.last_decision.map_or(period, |at| now.saturating_sub(at));
+        // Bounds the step of the level after a process was suspended.
+        let elapsed_s = elapsed.clamp(1, 5 * period.max(1)) as f64 / 1_000.0;
+        self.last_decision = Some(now);
+        self.decisions += 1;
+        self.peer_loads.expire(now);
         let mut living = living.to_vec();
         living.push(me);
         self.duties.living(now, me, living);
         let living = self.duties.all();
-        let heard = self.table.last_heard().is_some_and(|at| now.saturating_sub(at) <= ISOLATED_AFTER);
-        let together = heard && living.len() > 1;
+        let heard_recently =
+            self.peer_loads.last_heard().is_some_and(|at| now.saturating_sub(at) <= ISOLATED_AFTER);
+        let coordinated = heard_recently && living.len() > 1;
         let classes = self.config.classes.len();
-        let means = self.table.means(now, &self.own.rates, classes);
+        let means = self.peer_loads.means(now, &self.own.rates, classes);
         let order = Order::new(&self.config.classes, &means.classes, self.config.class_floor);
-        if together {
-            let words = self.table.words(now);
-            self.level.step(now, passed_s, &means, &words, &order);
+        if coordinated {
+            let reports = self.peer_loads.level_reports(now);
+            self.level.step(now, elapsed_s, &means, &reports, &order);
         } else {
-            self.level.alone(passed_s);
+            self.level.decay(elapsed_s);
         }
         let level = self.level.level();
         self.admit = if level > 0.0 { order.admit(level) } else { Vec::new() };
-        let fact = level_fact(self.level.word()).into_iter().collect();
+        let facts = level_fact(self.level.report()).into_iter().collect();
         let mut guidance = Guidance { admit: self.admit.clone(), level, ..Guidance::default() };
-        if together {
-            let [retries, copies] = self.rights.allowed(&self.config.budgets, &self.own.rates, level);
+        if coordinated {
+            let [retries, hedges] = self.rights.allowed(&self.config.budgets, &self.own.rates, level);
             guidance.retries = Some(retries);
-            guidance.hedges = Some(copies);
+            guidance.hedges = Some(hedges);
             guidance.load_polls = Some(self.duties.probes(now));
             guidance.ejection_probes = Some(self.duties.trials(now));
-            guidance.retry_after_range = Some(budgets::come_back(me, living, self.turn));
+            guidance.retry_after_range = Some(budgets::come_back(me, living, self.decisions));
         }
-        (guidance, fact)
+        (guidance, facts)
     }
 
-    /// The level of shedding, 0 to 1.
+    /// The shedding level, from 0 to 1.
     pub fn level(&self) -> f64 {
         self.level.level()
     }
 
-    /// Why the level moved, where there is something new to tell: rare by itself.
+    /// Takes the log message on the latest change of the shedding level, if there is a new one. Messages are
+    /// rate-limited.
     pub fn take_note(&mut self) -> Option<String> {
         self.level.take_note()
     }
 }
 
-/// A word on the level as a fact's body: the two levels in 65,535ths, the capacity by its code, 0 for none.
+/// A [`LevelReport`] as the body of a fact: the two levels in units of 1/65,535, and the capacity as the code of
+/// [`rates::encode_value`], or 0 if there is none.
 #[derive(Serialize, Deserialize)]
 struct EncodedLevelReport {
     level: u16,
@@ -174,23 +185,25 @@
     capacity: u16,
 }
 
-fn level_fact(word: LevelReport) -> Option<Fact> {
-    // The casts stay in range.
-    let part = |level: f64| (level.clamp(0.0, 1.0) * f64::from(u16::MAX)).round() as u16;
-    let capacity = word.capacity.map_or(0, |capacity| rates::code(capacity).max(1));
+/// The fact that carries a level report.
+fn level_fact(report: LevelReport) -> Option<Fact> {
+    // The clamp keeps the cast in range.
+    let fraction = |level: f64| (level.clamp(0.0, 1.0) * f64::from(u16::MAX)).round() as u16;
+    let capacity = report.capacity.map_or(0, |capacity| rates::encode_value(capacity).max(1));
     let body = postcard::to_allocvec(&EncodedLevelReport {
-        level: part(word.level),
-        desired: part(word.desired),
+        level: fraction(report.level),
+        desired: fraction(report.desired),
         capacity,
     })
     .ok()?;
     Some(Fact { kind: FactKind::SHEDDING_LEVEL, key: 0, body })
 }
 
+/// The level report of a `SHEDDING_LEVEL` fact, or `None` if the body is malformed.
 fn parse_level_fact(fact: &Fact) -> Option<LevelReport> {
     let (EncodedLevelReport { level, desired, capacity }, rest) =
         postcard::take_from_bytes(&fact.body).ok()?;
-    let part = |level: u16| f64::from(level) / f64::from(u16::MAX);
-    let capacity = (capacity > 0).then(|| rates::figure(capacity));
-    rest.is_empty().then_some(LevelReport { level: part(level), desired: part(desired), capacity })
+    let fraction = |level: u16| f64::from(level) / f64::from(u16::MAX);
+    let capacity = (capacity > 0).then(|| rates::decode_value(capacity));
+    rest.is_empty().then_some(LevelReport { level: fraction(level), desired: fraction(desired), capacity })
 }
--- a/crates/peers/src/overload/peer_loads.rs
+++ b/crates/peers/src/overload/peer_loads.rs
@@ -66,7 +66,14 @@
 
 impl PeerLoads {
     /// Takes some classes' rates of a member.
-    pub fn load(&mut self, at: Millis, owner: MemberId, first: usize, rates: Vec<Rates>, classes: usize) {
+    pub fn set_rates(
+        &mut self,
+        at: Millis,
+        owner: MemberId,
+        first: usize,
+        rates: Vec<Rates>,
+        classes: usize,
+    ) {
         let heard = self.entry(at, owner);
         heard.rates.resize(classes, Rates::default());
         for (slot, rates) in heard.rates.iter_mut().skip(first).zip(rates) {
@@ -76,7 +83,7 @@
     }
 
     /// Takes a member's word on the level.
-    pub fn word(&mut self, at: Millis, owner: MemberId, word: LevelReport) {
+    pub fn set_level_report(&mut self, at: Millis, owner: MemberId, word: LevelReport) {
         self.entry(at, owner).word = Some((at, word));
     }
 
@@ -91,7 +98,7 @@
     }
 
     /// The newest words of members.
-    pub fn words(&self, now: Millis) -> Vec<LevelReport> {
+    pub fn level_reports(&self, now: Millis) -> Vec<LevelReport> {
         let aged = self.heard.values().filter_map(|heard| heard.word);
         let mut words: Vec<(Millis, LevelReport)> =
             aged.map(|(at, word)| (now.saturating_sub(at), word)).collect();
@@ -203,9 +210,9 @@
             Rates { first_attempts: 4e8, rejected: 4e8, in_flight: 4e8, service_ms: 4e8, ..Rates::default() };
         for others in [4_u16, 20, 100] {
             let mut table = PeerLoads::default();
-            (1..others).for_each(|owner| table.load(0, MemberId(owner), 0, honest.clone(), 1));
+            (1..others).for_each(|owner| table.set_rates(0, MemberId(owner), 0, honest.clone(), 1));
             let before = table.means(0, &honest, 1).classes[0];
-            table.load(0, MemberId(others), 0, vec![hostile], 1);
+            table.set_rates(0, MemberId(others), 0, vec![hostile], 1);
             let after = table.means(0, &honest, 1).classes[0];
             let share = CAP / f64::from(others + 1);
             assert!(after.first_attempts <= before.first_attempts * (1.0 + share), "{after:?}");
@@ -217,7 +224,7 @@
     #[test]
     fn few_members_are_kept_and_the_oldest_go_first() {
         let mut table = PeerLoads::default();
-        (0..1_000).for_each(|n| table.load(n, MemberId(n as u16), 0, vec![Rates::default()], 1));
+        (0..1_000).for_each(|n| table.set_rates(n, MemberId(n as u16), 0, vec![Rates::default()], 1));
         assert_eq!(table.means(1_000, &[], 1).members, KEPT + 1);
         assert!(table.heard.contains_key(&MemberId(999)) && !table.heard.contains_key(&MemberId(800)));
         table.expire(10_000);
--- a/crates/peers/src/overload/rates.rs
+++ b/crates/peers/src/overload/rates.rs
@@ -197,7 +197,7 @@
 
 /// A piece of a member's rates as a fact.
 fn load_fact(piece: u64, rates: &[Rates]) -> Option<Fact> {
-    let codes = rates.iter().map(|rates| rates.figures().map(code)).collect();
+    let codes = rates.iter().map(|rates| rates.figures().map(encode_value)).collect();
     let body = postcard::to_allocvec(&Piece(codes)).ok().filter(|body| body.len() <= MAX_FACT_BYTES)?;
     Some(Fact { kind: FactKind::LOAD, key: piece, body })
 }
@@ -215,11 +215,11 @@
     {
         return None;
     }
-    Some((first, codes.into_iter().map(|codes| Rates::of(codes.map(figure)).believed()).collect()))
+    Some((first, codes.into_iter().map(|codes| Rates::of(codes.map(decode_value)).believed()).collect()))
 }
 
 /// The code of a figure: 0 for nought and for what is no figure.
-pub fn code(figure: f64) -> u16 {
+pub fn encode_value(figure: f64) -> u16 {
     if !figure.is_finite() || figure < LEAST {
         return 0;
     }
@@ -228,7 +228,7 @@
 }
 
 /// The figure of a code.
-pub fn figure(code: u16) -> f64 {
+pub fn decode_value(code: u16) -> f64 {
     match code.min(GREATEST) {
         0 => 0.0,
         code => LEAST * (f64::from(code - 1) * STEP).exp(),
@@ -242,12 +242,15 @@
     #[test]
     fn figures_survive_their_code_and_nonsense_does_not() {
         for figure_was in [0.01, 0.5, 1.0, 33.3, 4_000.0, 4.0e8] {
-            assert!((figure(code(figure_was)) / figure_was - 1.0).abs() < 0.001, "{figure_was}");
+            assert!(
+                (decode_value(encode_value(figure_was)) / figure_was - 1.0).abs() < 0.001,
+                "{figure_was}"
+            );
         }
         for nonsense in [f64::NAN, f64::NEG_INFINITY, -3.0, f64::INFINITY] {
-            assert_eq!(figure(code(nonsense)), 0.0);
+            assert_eq!(decode_value(encode_value(nonsense)), 0.0);
         }
-        assert!(figure(u16::MAX).is_finite());
+        assert!(decode_value(u16::MAX).is_finite());
     }
 
     #[test]
