--- a/crates/peers/src/overload/level.rs
+++ b/crates/peers/src/overload/level.rs
@@ -1,10 +1,15 @@
-//! The level of shedding: how far the fleet stands above what its servers can do.
+//! The shedding level: how much of the offered load the cluster sheds, from 0 to 1.
 //!
-//! The level follows from two figures: the work that is offered to a member, a second, and the work that the servers
-//! can do for each member, both as means over the members heard. What is offered is counted, refused requests and all,
-//! so that the end of a load shows at once. What servers can do, the capacity, is what is learnt: it goes down while of
-//! what was let in more than [`TARGET`] finds no room, and up while it is less. Changes of load move the level without
-//! being learnt first, and the capacity, which hardly changes, is what members agree on, however late they hear of it.
+//! The level follows from two quantities, both averages over the members that this member hears from:
+//!
+//! - The offered work per second and member. It is counted, including the rejected requests, so that the end
+//!   of an overload shows at once.
+//! - The capacity: the work per second that the servers can do for each member. It is estimated. The estimate
+//!   falls while more than [`TARGET_UNMET`] of the admitted work is rejected for lack of capacity or fails,
+//!   and rises while less is.
+//!
+//! A change of the offered load moves the level without anything to estimate first. The capacity hardly
+//! changes, and it is the quantity that members agree on, so that old reports do little harm.
 
 use crate::api::Millis;
 
@@ -12,245 +17,293 @@
 use super::peer_loads::{ClusterMeans, LevelReport, trimmed_mean};
 use super::rates::Rates;
 
-/// The share of what is let in that may find no room: with less, servers stand idle between requests.
-pub const TARGET: f64 = 0.05;
+/// The fraction of the admitted work that may remain unmet. With a smaller fraction, servers idle between
+/// requests.
+pub const TARGET_UNMET: f64 = 0.05;
 
-/// From this share on, for [`ENGAGE_AFTER`], the fleet begins to shed. More than [`TARGET`], so that a load that just
-/// fits does not turn shedding on and off.
-const ENGAGE: f64 = 0.08;
+/// Shedding begins when the unmet fraction exceeds this value for [`ENGAGE_AFTER`]. It is above
+/// [`TARGET_UNMET`], so that a load that just fits does not turn shedding on and off.
+const ENGAGE_UNMET: f64 = 0.08;
 
-/// For so long must there be no room before shedding begins, and none be needed before the capacity is forgotten.
+/// How long the unmet fraction must exceed [`ENGAGE_UNMET`] before shedding begins.
 const ENGAGE_AFTER: Millis = 500;
-const FORGET_AFTER: Millis = 2_000;
+/// How long no shedding must be needed before the capacity estimate is dropped.
+const RELEASE_AFTER: Millis = 2_000;
 
-/// The capacity goes to what is seen of it within so many seconds. It follows what was let in and found room and
-/// not a sum of misses, so that a level still on its way does not wind it up.
-const LEARNT_IN_S: f64 = 1.5;
-const FURTHER: f64 = 2.0;
+/// The time constant of the capacity estimate, in seconds. The estimate follows the admitted work that the
+/// servers had capacity for. It does not integrate the unmet work, which would wind it up while the level is
+/// still moving.
+const CAPACITY_TIME_CONSTANT_S: f64 = 1.5;
+/// The estimate is lowered by at most this many times the currently unmet work, both on a logarithmic scale.
+const MAX_DECREASE_FACTOR: f64 = 2.0;
 
-/// After so many seconds in which all was let in found room, the capacity grows faster, by this much for each second
-/// more: servers that come back are used soon.
-const ROOMY_AFTER_S: f64 = 1.0;
-const ROOMY_FASTER: f64 = 2.0;
-const FASTEST: f64 = 0.4;
+/// After this many seconds in which the servers had capacity for all admitted work, the estimate grows
+/// faster, so that recovered servers are used soon.
+const SPARE_AFTER_S: f64 = 1.0;
+/// The increase of the growth rate for each further second, as a fraction of the normal rate.
+const SPARE_ACCELERATION: f64 = 2.0;
+/// The maximum growth rate of the estimate: the increase of its logarithm per second.
+const MAX_GROWTH_RATE: f64 = 0.4;
 
-/// How much of the way to what the others think of the capacity a member goes in a period.
-const DRAWN: f64 = 0.2;
+/// The fraction of the distance to the peers' capacity estimates that a member covers in one period.
+const CAPACITY_COUPLING: f64 = 0.2;
 
-/// How far the level may move in a second, up and down.
-const SPEED_UP: f64 = 0.8;
-pub const SPEED_DOWN: f64 = 1.5;
+/// The maximum increase of the level per second.
+const MAX_RISE_PER_S: f64 = 0.8;
+/// The maximum decrease of the level per second.
+pub const MAX_FALL_PER_S: f64 = 1.5;
 
-/// A level that is wanted this far beyond [`NEAR`] is gone to as fast as may be, and one nearby by such a share of the way in a
-/// period: what differs between samples of the fleet is mostly chance.
-const FAR: f64 = 0.1;
-const GENTLY: f64 = 0.12;
+/// Where the goal lies this far beyond [`NEAR_DISTANCE`], the level moves towards it as fast as the limits
+/// allow. A nearer goal is approached by a smaller fraction of the distance, because small differences
+/// between samples of the cluster are mostly chance.
+const FULL_STEP_DISTANCE: f64 = 0.1;
+/// The smallest fraction of the distance to the goal that the level covers in one period.
+const MIN_STEP_FRACTION: f64 = 0.12;
 
-/// How much of the way to the others' levels a member goes in a period, from this near: what they said is a second old
-/// where the level moves, and must not hold it back then.
-const TOGETHER: f64 = 0.6;
-const NEAR: f64 = 0.03;
+/// The fraction of the distance to the peers' levels that a member covers in one period.
+const LEVEL_COUPLING: f64 = 0.6;
+/// The maximum distance to the peers' levels that counts for [`LEVEL_COUPLING`]. While the level moves, the
+/// peers' reports are up to a second old and must not hold it back.
+const NEAR_DISTANCE: f64 = 0.03;
 
-/// A level wanted below this is nought.
-const NOUGHT: f64 = 0.005;
+/// A goal below this counts as 0.
+const MIN_LEVEL: f64 = 0.005;
 
-/// Of the classes ordered by the share that found no room, this much of the work lies below the one that counts: what
-/// is short for servers is short for all classes, while a class that has no server left does not get better by
-/// shedding others.
-const BELOW: f64 = 0.3;
+/// The quantile of the classes' unmet fractions, weighted by work, that counts as the unmet fraction of the
+/// cluster. A lack of capacity affects all classes, whereas a class that has lost its servers gains nothing
+/// from shedding other classes.
+const UNMET_QUANTILE: f64 = 0.3;
 
-/// A share of failures is taken for usual within so many seconds, and a lower one sooner: failures that shedding does
-/// not end are none of overload.
-const USUAL_UP_S: f64 = 15.0;
-const USUAL_DOWN_S: f64 = 1.0;
+/// The time constant in seconds with which a higher failure rate becomes the baseline. Failures that shedding
+/// does not end are not caused by overload.
+const BASELINE_RISE_S: f64 = 15.0;
+/// The time constant in seconds with which the baseline follows a lower failure rate.
+const BASELINE_FALL_S: f64 = 1.0;
 
-/// The figures that move the level are averaged over so many seconds; held work that grows by less than a share of
-/// what is let in counts as steady.
-const AVERAGED_S: f64 = 0.5;
-const STEADY: f64 = 0.03;
+/// The time constant in seconds of the averages that move the level.
+const AVERAGING_S: f64 = 0.5;
+/// Growth of the in-flight requests below this fraction of the admission rate counts as steady.
+const STEADY_GROWTH: f64 = 0.03;
 
-/// What found no room, as shares of what was let in.
+/// Demand that the servers lacked the capacity for, as fractions of the admitted requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-struct Unmet {
-    refused_or_failed: f64,
+struct UnmetDemand {
+    /// Requests rejected for lack of capacity, or failed beyond the baseline.
+    rejected_or_failed: f64,
+    /// The growth of the in-flight requests.
     growth: f64,
 }
 
-impl Unmet {
-    fn all(&self) -> f64 {
-        (self.refused_or_failed + (self.growth - STEADY).max(0.0)).clamp(0.0, 1.0)
+impl UnmetDemand {
+    /// The total unmet fraction, from 0 to 1.
+    fn total(&self) -> f64 {
+        (self.rejected_or_failed + (self.growth - STEADY_GROWTH).max(0.0)).clamp(0.0, 1.0)
     }
 }
 
-/// The level at one member.
+/// The shedding level of one member, and the capacity estimate behind it.
 #[derive(Debug, Default)]
 pub struct SheddingLevel {
     level: f64,
+    /// The level that this member's own averages call for.
     desired: f64,
+    /// The estimated work per second that the servers can do for each member. Absent while there is no
+    /// overload.
     capacity: Option<f64>,
-    unmet: Unmet,
-    usual_failed: Vec<f64>,
-    held: Option<f64>,
-    crowded_since: Option<Millis>,
-    quiet_since: Option<Millis>,
-    roomy_s: f64,
-    told: Option<(Millis, f64)>,
+    unmet: UnmetDemand,
+    /// The usual fraction of failures of each class.
+    baseline_failures: Vec<f64>,
+    /// The requests in flight at the previous step.
+    in_flight: Option<f64>,
+    /// Since when the unmet fraction exceeds [`ENGAGE_UNMET`], while there is no capacity estimate.
+    overloaded_since: Option<Millis>,
+    /// Since when the level and the desired level are 0, while there is a capacity estimate.
+    inactive_since: Option<Millis>,
+    /// For how many seconds the servers have had capacity for nearly all admitted work.
+    spare_s: f64,
+    /// The time of the last log message and the level in it.
+    last_note: Option<(Millis, f64)>,
     note: Option<String>,
 }
 
 impl SheddingLevel {
-    /// The level now.
+    /// The current level, from 0 to 1.
     pub fn level(&self) -> f64 {
         self.level
     }
 
-    /// What others should hear of it.
+    /// The report to publish to the other members.
     pub fn report(&self) -> LevelReport {
         LevelReport { level: self.level, desired: self.desired, capacity: self.capacity }
     }
 
-    /// Why it moved, where that is new.
+    /// Takes the log message on the latest change of the level, if there is a new one.
     pub fn take_note(&mut self) -> Option<String> {
         self.note.take()
     }
 
-    /// Without others it fades, and what was learnt with them is forgotten.
+    /// Lowers the level towards 0 while no other member is heard, and drops all estimates.
     pub fn decay(&mut self, elapsed_s: f64) {
-        let level = (self.level - SPEED_DOWN * elapsed_s).max(0.0);
-        let note =
-            (self.level > 0.0 && level == 0.0).then(|| "no peer is heard: no shedding as one".to_string());
+        let level = (self.level - MAX_FALL_PER_S * elapsed_s).max(0.0);
+        let note = (self.level > 0.0 && level == 0.0)
+            .then(|| "no other member is heard: cluster-wide shedding has ended".to_string());
         *self = SheddingLevel { level, note: note.or(self.note.take()), ..SheddingLevel::default() };
     }
 
-    /// Moves on by a period that took so many seconds.
+    /// Updates the level after a period of `elapsed_s` seconds, from the averages over the members, the
+    /// reports of the other members and the order in which classes are shed.
     pub fn step(
         &mut self,
         now: Millis,
         elapsed_s: f64,
         means: &ClusterMeans,
-        words: &[LevelReport],
+        reports: &[LevelReport],
         order: &Order,
     ) {
-        self.look(&means.classes, elapsed_s);
+        self.update_unmet(&means.classes, elapsed_s);
         let offered: f64 = means.classes.iter().map(|rates| rates.arrivals() * work(rates)).sum();
-        self.learn(now, elapsed_s, means, words);
+        self.update_capacity(now, elapsed_s, means, reports);
         let share = self.capacity.map_or(0.0, |capacity| 1.0 - capacity / offered.max(1e-9));
         self.desired = order.level_for(share, &means.classes);
-        let wanted = words.iter().map(|word| word.desired).chain([self.desired]).collect();
-        let goal = trimmed_mean(wanted).unwrap_or(0.0).clamp(0.0, 1.0);
-        let others = trimmed_mean(words.iter().map(|word| word.level).collect()).unwrap_or(self.level);
-        let still = self.desired == 0.0 && goal < NOUGHT;
-        let way = if still { -self.level } else { goal - self.level };
-        let step = if still { way } else { way * ((way.abs() - NEAR) / FAR).clamp(GENTLY, 1.0) };
-        let drawn = if still { 0.0 } else { TOGETHER * (others - self.level).clamp(-NEAR, NEAR) };
-        let step = (step + drawn).clamp(-SPEED_DOWN * elapsed_s, SPEED_UP * elapsed_s);
+        let desired_levels = reports.iter().map(|report| report.desired).chain([self.desired]).collect();
+        let goal = trimmed_mean(desired_levels).unwrap_or(0.0).clamp(0.0, 1.0);
+        let peers = trimmed_mean(reports.iter().map(|report| report.level).collect()).unwrap_or(self.level);
+        let no_demand = self.desired == 0.0 && goal < MIN_LEVEL;
+        let distance = if no_demand { -self.level } else { goal - self.level };
+        let step = if no_demand {
+            distance
+        } else {
+            distance * ((distance.abs() - NEAR_DISTANCE) / FULL_STEP_DISTANCE).clamp(MIN_STEP_FRACTION, 1.0)
+        };
+        let coupling = if no_demand {
+            0.0
+        } else {
+            LEVEL_COUPLING * (peers - self.level).clamp(-NEAR_DISTANCE, NEAR_DISTANCE)
+        };
+        let step = (step + coupling).clamp(-MAX_FALL_PER_S * elapsed_s, MAX_RISE_PER_S * elapsed_s);
         self.level = (self.level + step).clamp(0.0, 1.0);
-        self.tell(now, means);
+        self.update_note(now, means);
     }
 
-    /// What of the things let in found no room.
-    fn look(&mut self, classes: &[Rates], elapsed_s: f64) {
-        self.usual_failed.resize(classes.len(), 0.0);
-        let average = 1.0 - (-elapsed_s / AVERAGED_S).exp();
+    /// Updates the unmet fraction of the admitted requests.
+    fn update_unmet(&mut self, classes: &[Rates], elapsed_s: f64) {
+        self.baseline_failures.resize(classes.len(), 0.0);
+        let average = 1.0 - (-elapsed_s / AVERAGING_S).exp();
         let mut shares: Vec<(f64, f64)> = Vec::with_capacity(classes.len());
-        for (rates, usual) in classes.iter().zip(&mut self.usual_failed) {
+        for (rates, baseline) in classes.iter().zip(&mut self.baseline_failures) {
             if rates.admitted <= 0.0 {
                 continue;
             }
             let failed = (rates.failed / rates.admitted).clamp(0.0, 1.0);
-            let over = if failed > *usual { USUAL_UP_S } else { USUAL_DOWN_S };
-            *usual += (failed - *usual) * (1.0 - (-elapsed_s / over).exp());
-            let refused = rates.capacity_rejections() / rates.admitted;
-            shares.push(((refused + failed - *usual).clamp(-1.0, 1.0), rates.admitted * work(rates)));
+            let time_constant = if failed > *baseline { BASELINE_RISE_S } else { BASELINE_FALL_S };
+            *baseline += (failed - *baseline) * (1.0 - (-elapsed_s / time_constant).exp());
+            let rejected = rates.capacity_rejections() / rates.admitted;
+            shares.push(((rejected + failed - *baseline).clamp(-1.0, 1.0), rates.admitted * work(rates)));
         }
         shares.sort_by(|one, other| one.0.total_cmp(&other.0));
         let total: f64 = shares.iter().map(|(_, weight)| weight).sum();
         let mut below = 0.0;
-        let counts = shares.iter().find(|(_, weight)| {
+        let decisive = shares.iter().find(|(_, weight)| {
             below += weight;
-            below >= BELOW * total
+            below >= UNMET_QUANTILE * total
         });
-        let unmet = counts.map_or(0.0, |(share, _)| *share);
-        self.unmet.refused_or_failed += average * (unmet - self.unmet.refused_or_failed);
-        let held: f64 = classes.iter().map(|rates| rates.in_flight).sum();
-        let let_in: f64 = classes.iter().map(|rates| rates.admitted).sum();
-        let grown = self.held.map_or(0.0, |before| (held - before) / elapsed_s);
-        let growth = if let_in > 0.0 { (grown / let_in).clamp(-1.0, 1.0) } else { 0.0 };
-        self.held = Some(held);
-        // A change and its undoing make no growth: averaged over longer.
+        let unmet = decisive.map_or(0.0, |(share, _)| *share);
+        self.unmet.rejected_or_failed += average * (unmet - self.unmet.rejected_or_failed);
+        let in_flight: f64 = classes.iter().map(|rates| rates.in_flight).sum();
+        let admitted: f64 = classes.iter().map(|rates| rates.admitted).sum();
+        let growth_per_s = self.in_flight.map_or(0.0, |before| (in_flight - before) / elapsed_s);
+        let growth = if admitted > 0.0 { (growth_per_s / admitted).clamp(-1.0, 1.0) } else { 0.0 };
+        self.in_flight = Some(in_flight);
+        // Averaged over a longer time, so that a short rise and fall of the in-flight requests cancel out.
         self.unmet.growth += average / 2.0 * (growth - self.unmet.growth);
     }
 
-    /// Begins, corrects or forgets the capacity.
-    fn learn(&mut self, now: Millis, elapsed_s: f64, means: &ClusterMeans, words: &[LevelReport]) {
-        let unmet = self.unmet.all();
-        let let_in: f64 = means.classes.iter().map(|rates| rates.admitted * work(rates)).sum();
-        let others: Vec<f64> =
-            words.iter().filter_map(|word| word.capacity).filter(|&known| known > 0.0).collect();
-        let shedding = words.iter().filter(|word| word.capacity.is_some() && word.desired > 0.0).count();
-        let most_shed = 2 * shedding > words.len();
-        let others = trimmed_mean(others);
+    /// Starts, corrects or drops the capacity estimate.
+    fn update_capacity(
+        &mut self,
+        now: Millis,
+        elapsed_s: f64,
+        means: &ClusterMeans,
+        reports: &[LevelReport],
+    ) {
+        let unmet = self.unmet.total();
+        let admitted: f64 = means.classes.iter().map(|rates| rates.admitted * work(rates)).sum();
+        let peers: Vec<f64> =
+            reports.iter().filter_map(|report| report.capacity).filter(|&known| known > 0.0).collect();
+        let shedding =
+            reports.iter().filter(|report| report.capacity.is_some() && report.desired > 0.0).count();
+        let most_peers_shed = 2 * shedding > reports.len();
+        let peers = trimmed_mean(peers);
         let Some(capacity) = self.capacity else {
-            let since = *self.crowded_since.get_or_insert(now);
-            if unmet <= ENGAGE {
-                self.crowded_since = None;
+            let since = *self.overloaded_since.get_or_insert(now);
+            if unmet <= ENGAGE_UNMET {
+                self.overloaded_since = None;
             }
-            if most_shed {
-                self.capacity = others;
-            } else if unmet > ENGAGE && now.saturating_sub(since) >= ENGAGE_AFTER {
-                self.capacity = Some(let_in * (1.0 - unmet + TARGET));
+            if most_peers_shed {
+                self.capacity = peers;
+            } else if unmet > ENGAGE_UNMET && now.saturating_sub(since) >= ENGAGE_AFTER {
+                self.capacity = Some(admitted * (1.0 - unmet + TARGET_UNMET));
             }
-            (self.quiet_since, self.roomy_s) = (None, 0.0);
+            (self.inactive_since, self.spare_s) = (None, 0.0);
             return;
         };
-        self.roomy_s = if unmet < TARGET / 2.0 { self.roomy_s + elapsed_s } else { 0.0 };
-        let faster = 1.0 + ROOMY_FASTER * (self.roomy_s - ROOMY_AFTER_S).max(0.0);
-        // What was let in and found room is what servers can do, where there was less than was let in, and else at least
-        // that. Where the level lets in all there is no telling.
-        let seen = (let_in * (1.0 - unmet + TARGET) / capacity).max(1e-3).ln();
-        // Where less comes in, the last of what found no room must not be taken for servers lost: no further down than
-        // what is missing now would have it, and that again for what is not seen yet.
-        let missing = FURTHER * (1.0 - unmet + TARGET).max(0.1).ln();
-        let rate = match unmet > TARGET {
-            true => seen.clamp(missing, 0.0) / LEARNT_IN_S,
-            false if self.level > 0.0 => (seen.max(0.0) / LEARNT_IN_S * faster).min(FASTEST),
+        self.spare_s = if unmet < TARGET_UNMET / 2.0 { self.spare_s + elapsed_s } else { 0.0 };
+        let acceleration = 1.0 + SPARE_ACCELERATION * (self.spare_s - SPARE_AFTER_S).max(0.0);
+        // The admitted work that the servers had capacity for is their capacity if some admitted work was
+        // unmet, and a lower bound of it otherwise. While the level is 0, the lower bound says nothing new.
+        let observed = (admitted * (1.0 - unmet + TARGET_UNMET) / capacity).max(1e-3).ln();
+        // When the offered load falls, the last unmet requests must not be taken for a loss of servers. The
+        // estimate therefore falls by no more than the currently unmet work calls for, and as much again for
+        // the unmet work that has not been reported yet.
+        let max_decrease = MAX_DECREASE_FACTOR * (1.0 - unmet + TARGET_UNMET).max(0.1).ln();
+        let rate = match unmet > TARGET_UNMET {
+            true => observed.clamp(max_decrease, 0.0) / CAPACITY_TIME_CONSTANT_S,
+            false if self.level > 0.0 => {
+                (observed.max(0.0) / CAPACITY_TIME_CONSTANT_S * acceleration).min(MAX_GROWTH_RATE)
+            }
             false => 0.0,
         };
-        let drawn = others.map_or(0.0, |others| DRAWN * (others / capacity).ln().clamp(-1.0, 1.0));
-        self.capacity = Some((capacity * (rate * elapsed_s + drawn).exp()).clamp(1e-6, 1e12));
-        let quiet = self.level == 0.0 && self.desired == 0.0;
-        let since = *self.quiet_since.get_or_insert(now);
-        if !quiet {
-            self.quiet_since = None;
-        } else if now.saturating_sub(since) >= FORGET_AFTER {
-            (self.capacity, self.crowded_since) = (None, None);
+        let coupling =
+            peers.map_or(0.0, |peers| CAPACITY_COUPLING * (peers / capacity).ln().clamp(-1.0, 1.0));
+        self.capacity = Some((capacity * (rate * elapsed_s + coupling).exp()).clamp(1e-6, 1e12));
+        let inactive = self.level == 0.0 && self.desired == 0.0;
+        let since = *self.inactive_since.get_or_insert(now);
+        if !inactive {
+            self.inactive_since = None;
+        } else if now.saturating_sub(since) >= RELEASE_AFTER {
+            (self.capacity, self.overloaded_since) = (None, None);
         }
     }
 
-    /// Writes a line where shedding began, ended, or moved far since the last line.
-    fn tell(&mut self, now: Millis, means: &ClusterMeans) {
-        let (at, before) = self.told.unwrap_or((0, 0.0));
-        let turned = (before == 0.0) != (self.level == 0.0);
-        let passed = now.saturating_sub(at);
-        let due =
-            if turned { passed >= 1_000 } else { passed >= 10_000 && (self.level - before).abs() >= 0.2 };
-        if !(due || turned && self.told.is_none()) {
+    /// Prepares a log message when shedding has begun or ended, or when the level has moved far since the
+    /// last message.
+    fn update_note(&mut self, now: Millis, means: &ClusterMeans) {
+        let (at, before) = self.last_note.unwrap_or((0, 0.0));
+        let switched = (before == 0.0) != (self.level == 0.0);
+        let since_last = now.saturating_sub(at);
+        let due = if switched {
+            since_last >= 1_000
+        } else {
+            since_last >= 10_000 && (self.level - before).abs() >= 0.2
+        };
+        if !(due || switched && self.last_note.is_none()) {
             return;
         }
-        self.told = Some((now, self.level));
+        self.last_note = Some((now, self.level));
         self.note = Some(format!(
-            "level of shedding {before:.2} -> {:.2}, wanted {:.2}: of what was let in {:.0}% found no room or failed, \
-             held work grows by {:.0}% of it a second, by the figures of {} members",
+            "shedding level {before:.2} -> {:.2}, desired {:.2}: {:.0}% of the admitted requests were rejected for \
+             lack of capacity or failed, the in-flight requests grow by {:.0}% of the admission rate, averaged \
+             over {} members",
             self.level,
             self.desired,
-            100.0 * self.unmet.refused_or_failed,
+            100.0 * self.unmet.rejected_or_failed,
             100.0 * self.unmet.growth,
             means.members,
         ));
     }
 }
 
-/// The work of a request; where no time is known all count alike.
+/// The work of one request, in milliseconds. Classes without a known service time count alike.
 fn work(rates: &Rates) -> f64 {
     rates.service_ms.max(1.0)
 }
--- a/crates/peers/src/overload/mod.rs
+++ b/crates/peers/src/overload/mod.rs
@@ -1,16 +1,16 @@
 //! Overload control: all members shed load by the same rule.
 //!
-//! Each member publishes its request rates by class ([`rates`]). Each averages the rates of the members that it
-//! hears from ([`peer_loads`]) and derives a shedding level from the averages ([`level`]). Members also publish
-//! their levels, which keeps the levels close together. The level determines the admission probability of each
-//! class ([`admission`]). The probabilities are the same at all members, so that no member rejects a valuable
-//! request while another serves a cheap one.
+//! Each member publishes its request rates by class ([`rates`]). Each averages the rates of the members that
+//! it hears from ([`peer_loads`]) and derives a shedding level from the averages ([`level`]). Members also
+//! publish their levels, which keeps the levels close together. The level determines the admission
+//! probability of each class ([`admission`]). The probabilities are the same at all members, so that no
+//! member rejects a valuable request while another serves a cheap one.
 //!
-//! Retries and hedged requests share cluster-wide budgets ([`budgets`]). For each server, a few members poll its
-//! load, and one member probes it while it is ejected ([`duties`]).
+//! Retries and hedged requests share cluster-wide budgets ([`budgets`]). For each server, a few members poll
+//! its load, and one member probes it while it is ejected ([`duties`]).
 //!
-//! When a member hears from no other member, its level decays to 0. From then on it gives its module no guidance,
-//! and the module decides on its own.
+//! When a member hears from no other member, its level decays to 0. From then on it gives its module no
+//! guidance, and the module decides on its own.
 
 use std::sync::Arc;
 
@@ -39,7 +39,8 @@
 use peer_loads::{LevelReport, PeerLoads};
 use rates::OwnRates;
 
-/// A member that has not heard from any other member for this long is isolated: its shedding level decays to 0.
+/// A member that has not heard from any other member for this long is isolated: its shedding level decays to
+/// 0.
 pub const ISOLATED_AFTER: Millis = 3_000;
 
 /// The overload control of one member: what it knows of the cluster's load, and the guidance that follows.
@@ -75,9 +76,9 @@
         }
     }
 
-    /// Records what this member's process did for each class since the previous call, and returns the facts to
-    /// publish. `rejected` counts requests rejected by the shedding level and for lack of capacity. It does not
-    /// count requests rejected by a residency rule, since shedding cannot free capacity for them.
+    /// Records what this member's process did for each class since the previous call, and returns the facts
+    /// to publish. `rejected` counts requests rejected by the shedding level and for lack of capacity. It
+    /// does not count requests rejected by a residency rule, since shedding cannot free capacity for them.
     pub fn record_counts(&mut self, now: Millis, counts: &[ClassCounts]) -> Vec<Fact> {
         let counts = counts.get(..self.config.classes.len()).unwrap_or(counts);
         self.own.count(now, counts, &self.admit, self.config.timing.period);
@@ -122,9 +123,9 @@
         self.duties.tried(now, server, succeeded)
     }
 
-    /// Decides on the guidance for the module and on the facts to publish. It is called once per period. `living`
-    /// lists the living members; this member counts as living even if it is not in the list. The guidance's
-    /// `slow_start` is left absent.
+    /// Decides on the guidance for the module and on the facts to publish. It is called once per period.
+    /// `living` lists the living members; this member counts as living even if it is not in the list. The
+    /// guidance's `slow_start` is left absent.
     pub fn decide(&mut self, now: Millis, me: MemberId, living: &[MemberId]) -> (Guidance, Vec<Fact>) {
         let period = self.config.timing.period;
         let elapsed = self.last_decision.map_or(period, |at| now.saturating_sub(at));
@@ -176,8 +177,8 @@
     }
 }
 
-/// A [`LevelReport`] as the body of a fact: the two levels in units of 1/65,535, and the capacity as the code of
-/// [`rates::encode_value`], or 0 if there is none.
+/// A [`LevelReport`] as the body of a fact: the two levels in units of 1/65,535, and the capacity as the code
+/// of [`rates::encode_value`], or 0 if there is none.
 #[derive(Serialize, Deserialize)]
 struct EncodedLevelReport {
     level: u16,
