--- a/crates/peers/src/overload/rates.rs
+++ b/crates/peers/src/overload/rates.rs
@@ -1,108 +1,112 @@
-//! What a member did, as rates by class, and how that is written into facts.
+//! The request rates of one member by class, and their encoding in facts.
 
 use serde::{Deserialize, Serialize};
 
 use crate::api::{ClassCounts, Fact, FactKind, MAX_FACT_BYTES, Millis};
 
-/// Over how many milliseconds a member's rates are averaged: long enough to see ten requests of a member with 35 a
-/// second, short enough for the end of a load to show in time.
-const AVERAGED_OVER: f64 = 300.0;
+/// The time constant of a member's averaged rates, in milliseconds. It is long enough to cover ten requests
+/// of a member that gets 35 per second, and short enough to show the end of an overload in time.
+const AVERAGING_MS: f64 = 300.0;
 
-/// Figures of a class in a fact.
-const FIGURES: usize = 10;
+/// The number of values per class in a fact.
+const VALUES_PER_CLASS: usize = 10;
 
-/// Classes in a piece: each takes [`FIGURES`] codes of two bytes at most, and the piece says how many there are.
-pub const CLASSES_A_PIECE: usize = (MAX_FACT_BYTES - 1) / (2 * FIGURES);
+/// The number of classes per fact. A class takes [`VALUES_PER_CLASS`] codes of at most two bytes each, and
+/// one byte holds the number of classes in the fact.
+pub const CLASSES_PER_FACT: usize = (MAX_FACT_BYTES - 1) / (2 * VALUES_PER_CLASS);
 
-/// The least figure that is not written as nought, and the ratio between neighbouring codes as a logarithm: 0.08% of
-/// error at the most, and all up to 5 × 10^8.
-const LEAST: f64 = 0.01;
-const STEP: f64 = 0.0015;
+/// The smallest value that is not encoded as 0.
+const MIN_VALUE: f64 = 0.01;
+/// The logarithm of the ratio between the values of neighbouring codes. The rounding error is at most 0.08%,
+/// and values up to 5 × 10^8 can be encoded.
+const LOG_STEP: f64 = 0.0015;
 
-/// The greatest code, so that each takes two bytes as a varint.
-const GREATEST: u16 = (1 << 14) - 1;
+/// The largest code. A code up to this value takes at most two bytes as a varint.
+const MAX_CODE: u16 = (1 << 14) - 1;
 
-/// What a member does in a class: requests a second, but for the last two.
+/// The load of a member in one class: requests per second, except for the last two fields.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Rates {
-    /// First tries.
+    /// Requests that arrived and were not marked as retries by the client.
     pub first_attempts: f64,
-    /// Repeats by clients.
+    /// Requests that arrived and were marked as retries by the client.
     pub client_retries: f64,
-    /// What the level of shedding let in of both.
+    /// Arrived requests of both sorts that the shedding level admitted.
     pub admitted: f64,
-    /// Served.
+    /// Requests served.
     pub served: f64,
-    /// Refused, by the level as well as for lack of room.
+    /// Requests rejected, by the shedding level or for lack of capacity.
     pub rejected: f64,
-    /// Failed or too late.
+    /// Requests that failed or were answered too late.
     pub failed: f64,
-    /// Second and later sends.
+    /// Attempts after the first for the same request.
     pub retries: f64,
-    /// Hedged requests.
+    /// Hedged requests sent.
     pub hedges: f64,
-    /// Requests held.
+    /// Requests in flight: a number, not a rate.
     pub in_flight: f64,
-    /// Milliseconds that a mean server works on one; 0 where nothing is known.
+    /// How long an average server works on one request, in milliseconds. 0 means unknown.
     pub service_ms: f64,
 }
 
 impl Rates {
-    /// What came in, a second.
+    /// All arrived requests per second.
     pub fn arrivals(&self) -> f64 {
         self.first_attempts + self.client_retries
     }
 
-    /// What found no room, a second. What the level turned away is known but for chance, which may make this negative.
+    /// Requests per second that were rejected for lack of capacity. Those that the shedding level rejected
+    /// are subtracted by their expected number, so that chance can make the result negative.
     pub fn capacity_rejections(&self) -> f64 {
         self.rejected - (self.arrivals() - self.admitted)
     }
 
-    /// The same, but for such a share of what found no room or failed.
-    pub fn scale_unmet(self, share: f64) -> Rates {
-        let no_room = self.capacity_rejections();
-        let less = if no_room > 0.0 { no_room * (1.0 - share) } else { 0.0 };
-        Rates { rejected: self.rejected - less, failed: self.failed * share, ..self }
+    /// These rates with the capacity rejections and failures multiplied by `factor`.
+    pub fn scale_unmet(self, factor: f64) -> Rates {
+        let capacity_rejections = self.capacity_rejections();
+        let reduction = if capacity_rejections > 0.0 { capacity_rejections * (1.0 - factor) } else { 0.0 };
+        Rates { rejected: self.rejected - reduction, failed: self.failed * factor, ..self }
     }
 
-    /// All figures but the service time, which is no amount, times something.
-    pub fn scaled(self, by: f64) -> Rates {
+    /// These rates multiplied by `factor`, except for the service time.
+    pub fn scaled(self, factor: f64) -> Rates {
         let service_ms = self.service_ms;
-        let scaled = self.figures().map(|figure| figure * by);
-        Rates { service_ms, ..Rates::of(scaled) }
+        let scaled = self.to_array().map(|value| value * factor);
+        Rates { service_ms, ..Rates::from_array(scaled) }
     }
 
-    /// All figures but the service time added up.
+    /// The sum of both rates, with the service time of `self`.
     pub fn plus(self, other: Rates) -> Rates {
-        let (mut sum, others) = (self.figures(), other.figures());
+        let (mut sum, others) = (self.to_array(), other.to_array());
         sum.iter_mut().zip(others).for_each(|(sum, other)| *sum += other);
-        Rates { service_ms: self.service_ms, ..Rates::of(sum) }
+        Rates { service_ms: self.service_ms, ..Rates::from_array(sum) }
     }
 
-    /// A share of the way from these to others.
-    fn towards(self, other: Rates, share: f64) -> Rates {
-        let (mut figures, others) = (self.figures(), other.figures());
-        figures.iter_mut().zip(others).for_each(|(figure, other)| *figure += share * (other - *figure));
-        Rates::of(figures)
+    /// The rates at the fraction `share` of the way from `self` to `other`.
+    fn interpolate(self, other: Rates, share: f64) -> Rates {
+        let (mut values, others) = (self.to_array(), other.to_array());
+        values.iter_mut().zip(others).for_each(|(value, other)| *value += share * (other - *value));
+        Rates::from_array(values)
     }
 
-    /// As far as figures that contradict each other can be believed: no more was let in, refused or failed than came
-    /// in. What ends may have come in before, so that some slack is left.
-    fn believed(self) -> Rates {
-        let came = self.arrivals();
-        let most = 2.0 * came + 1.0;
+    /// Limits rates that contradict each other: no more requests can be admitted, rejected or failed than
+    /// arrived. Requests that end now may have arrived earlier, so the limits leave some slack.
+    fn limited(self) -> Rates {
+        let arrived = self.arrivals();
+        let limit = 2.0 * arrived + 1.0;
         Rates {
-            admitted: self.admitted.min(came),
-            served: self.served.min(most),
-            rejected: self.rejected.min(most),
-            failed: self.failed.min(most),
-            retries: self.retries.min(4.0 * most),
-            hedges: self.hedges.min(4.0 * most),
+            admitted: self.admitted.min(arrived),
+            served: self.served.min(limit),
+            rejected: self.rejected.min(limit),
+            failed: self.failed.min(limit),
+            retries: self.retries.min(4.0 * limit),
+            hedges: self.hedges.min(4.0 * limit),
             ..self
         }
     }
 
-    fn figures(self) -> [f64; FIGURES] {
+    /// All values, in the order in which facts carry them.
+    fn to_array(self) -> [f64; VALUES_PER_CLASS] {
         let Rates { first_attempts, client_retries, admitted, served, rejected, failed, .. } = self;
         let Rates { retries, hedges, in_flight, service_ms, .. } = self;
         [
@@ -119,7 +123,8 @@
         ]
     }
 
-    fn of(figures: [f64; FIGURES]) -> Rates {
+    /// The inverse of [`Rates::to_array`].
+    fn from_array(values: [f64; VALUES_PER_CLASS]) -> Rates {
         let [
             first_attempts,
             client_retries,
@@ -131,7 +136,7 @@
             hedges,
             in_flight,
             service_ms,
-        ] = figures;
+        ] = values;
         Rates {
             first_attempts,
             client_retries,
@@ -147,29 +152,32 @@
     }
 }
 
-/// A member's own rates, from its counts.
+/// This member's own averaged rates.
 #[derive(Debug, Default)]
 pub struct OwnRates {
-    /// By class.
+    /// The rates of each class.
     pub rates: Vec<Rates>,
-    counted: Option<Millis>,
+    /// When counts were last added.
+    last_counted: Option<Millis>,
 }
 
 impl OwnRates {
-    /// Takes what was counted since the last time, while the level let in `admit` of each class.
+    /// Adds the counts since the previous call. `admit` is the admission probability of each class in that
+    /// time.
     pub fn count(&mut self, now: Millis, counts: &[ClassCounts], admit: &[f64], period: Millis) {
-        // The first counts, and those of a process that stood still, say little about the second.
-        let passed = self.counted.map_or(period, |at| now.saturating_sub(at)).max(1) as f64;
-        let share = if self.counted.is_none() { 1.0 } else { 1.0 - (-passed / AVERAGED_OVER).exp() };
-        self.counted = Some(now);
+        // The first counts cover an unknown time, and the counts after the process was suspended a long one.
+        // Neither says much about the last second.
+        let elapsed = self.last_counted.map_or(period, |at| now.saturating_sub(at)).max(1) as f64;
+        let share = if self.last_counted.is_none() { 1.0 } else { 1.0 - (-elapsed / AVERAGING_MS).exp() };
+        self.last_counted = Some(now);
         self.rates.resize(counts.len(), Rates::default());
-        let per_second = |count: u32| f64::from(count) * 1_000.0 / passed;
-        for (number, (rates, counts)) in self.rates.iter_mut().zip(counts).enumerate() {
-            let came = per_second(counts.first_attempts) + per_second(counts.client_retries);
-            let seen = Rates {
+        let per_second = |count: u32| f64::from(count) * 1_000.0 / elapsed;
+        for (class, (rates, counts)) in self.rates.iter_mut().zip(counts).enumerate() {
+            let arrived = per_second(counts.first_attempts) + per_second(counts.client_retries);
+            let current = Rates {
                 first_attempts: per_second(counts.first_attempts),
                 client_retries: per_second(counts.client_retries),
-                admitted: came * admit.get(number).copied().unwrap_or(1.0),
+                admitted: arrived * admit.get(class).copied().unwrap_or(1.0),
                 served: per_second(counts.served),
                 rejected: per_second(counts.rejected),
                 failed: per_second(counts.failed),
@@ -178,60 +186,66 @@
                 in_flight: f64::from(counts.in_flight),
                 service_ms: 0.0,
             };
-            // The module's own figure is averaged already.
+            // The module has averaged the service time already.
             let known = counts.service_ms.is_finite() && counts.service_ms > 0.0;
             let service_ms = if known { counts.service_ms } else { 0.0 };
-            *rates = Rates { service_ms, ..rates.towards(seen, share) };
+            *rates = Rates { service_ms, ..rates.interpolate(current, share) };
         }
     }
 
-    /// The rates as facts, as many pieces as the classes need.
+    /// The facts that carry the rates. The classes are split over as many facts as they need.
     pub fn facts(&self) -> Vec<Fact> {
-        let pieces = self.rates.chunks(CLASSES_A_PIECE).enumerate();
-        pieces.filter_map(|(piece, rates)| load_fact(piece as u64, rates)).collect()
+        let chunks = self.rates.chunks(CLASSES_PER_FACT).enumerate();
+        chunks.filter_map(|(index, rates)| load_fact(index as u64, rates)).collect()
     }
 }
 
+/// The body of a `LOAD` fact: the codes of some classes.
 #[derive(Serialize, Deserialize)]
-struct Piece(Vec<[u16; FIGURES]>);
+struct EncodedRates(Vec<[u16; VALUES_PER_CLASS]>);
 
-/// A piece of a member's rates as a fact.
-fn load_fact(piece: u64, rates: &[Rates]) -> Option<Fact> {
-    let codes = rates.iter().map(|rates| rates.figures().map(encode_value)).collect();
-    let body = postcard::to_allocvec(&Piece(codes)).ok().filter(|body| body.len() <= MAX_FACT_BYTES)?;
-    Some(Fact { kind: FactKind::LOAD, key: piece, body })
+/// The fact that carries the rates of some classes. `index` is its position among the facts of the member.
+fn load_fact(index: u64, rates: &[Rates]) -> Option<Fact> {
+    let codes = rates.iter().map(|rates| rates.to_array().map(encode_value)).collect();
+    let body =
+        postcard::to_allocvec(&EncodedRates(codes)).ok().filter(|body| body.len() <= MAX_FACT_BYTES)?;
+    Some(Fact { kind: FactKind::LOAD, key: index, body })
 }
 
-/// The number of the first class of a LOAD fact, and the rates of its classes; `None` for what makes no sense.
+/// The index of the first class in a `LOAD` fact, and the rates of its classes. `None` if the fact is
+/// malformed.
 pub fn parse_load_fact(fact: &Fact) -> Option<(usize, Vec<Rates>)> {
     if fact.kind != FactKind::LOAD || fact.body.len() > MAX_FACT_BYTES {
         return None;
     }
-    let (Piece(codes), rest) = postcard::take_from_bytes(&fact.body).ok()?;
-    let first = usize::try_from(fact.key).ok()?.checked_mul(CLASSES_A_PIECE)?;
+    let (EncodedRates(codes), rest) = postcard::take_from_bytes(&fact.body).ok()?;
+    let first = usize::try_from(fact.key).ok()?.checked_mul(CLASSES_PER_FACT)?;
     if !rest.is_empty()
-        || codes.len() > CLASSES_A_PIECE
-        || codes.iter().flatten().any(|&code| code > GREATEST)
+        || codes.len() > CLASSES_PER_FACT
+        || codes.iter().flatten().any(|&code| code > MAX_CODE)
     {
         return None;
     }
-    Some((first, codes.into_iter().map(|codes| Rates::of(codes.map(decode_value)).believed()).collect()))
+    Some((
+        first,
+        codes.into_iter().map(|codes| Rates::from_array(codes.map(decode_value)).limited()).collect(),
+    ))
 }
 
-/// The code of a figure: 0 for nought and for what is no figure.
-pub fn encode_value(figure: f64) -> u16 {
-    if !figure.is_finite() || figure < LEAST {
+/// The code of a value: 0 for values below [`MIN_VALUE`], infinite values and NaN.
+pub fn encode_value(value: f64) -> u16 {
+    if !value.is_finite() || value < MIN_VALUE {
         return 0;
     }
-    // The cast stays below the greatest code.
-    (1.0 + ((figure / LEAST).ln() / STEP).round()).min(f64::from(GREATEST)) as u16
+    // `min` keeps the cast in range.
+    (1.0 + ((value / MIN_VALUE).ln() / LOG_STEP).round()).min(f64::from(MAX_CODE)) as u16
 }
 
-/// The figure of a code.
+/// The value of a code.
 pub fn decode_value(code: u16) -> f64 {
-    match code.min(GREATEST) {
+    match code.min(MAX_CODE) {
         0 => 0.0,
-        code => LEAST * (f64::from(code - 1) * STEP).exp(),
+        code => MIN_VALUE * (f64::from(code - 1) * LOG_STEP).exp(),
     }
 }
 
@@ -240,21 +254,18 @@
     use super::*;
 
     #[test]
-    fn figures_survive_their_code_and_nonsense_does_not() {
-        for figure_was in [0.01, 0.5, 1.0, 33.3, 4_000.0, 4.0e8] {
-            assert!(
-                (decode_value(encode_value(figure_was)) / figure_was - 1.0).abs() < 0.001,
-                "{figure_was}"
-            );
+    fn encoding_keeps_values_and_maps_invalid_ones_to_zero() {
+        for value in [0.01, 0.5, 1.0, 33.3, 4_000.0, 4.0e8] {
+            assert!((decode_value(encode_value(value)) / value - 1.0).abs() < 0.001, "{value}");
         }
-        for nonsense in [f64::NAN, f64::NEG_INFINITY, -3.0, f64::INFINITY] {
-            assert_eq!(decode_value(encode_value(nonsense)), 0.0);
+        for invalid in [f64::NAN, f64::NEG_INFINITY, -3.0, f64::INFINITY] {
+            assert_eq!(decode_value(encode_value(invalid)), 0.0);
         }
         assert!(decode_value(u16::MAX).is_finite());
     }
 
     #[test]
-    fn classes_that_do_not_fit_go_to_further_pieces() {
+    fn classes_are_split_over_several_facts() {
         let counts: Vec<ClassCounts> = (0..16)
             .map(|n| ClassCounts {
                 first_attempts: 4_000_000 + n,
@@ -271,12 +282,12 @@
         let (first, rates) = parse_load_fact(&facts[2]).unwrap();
         assert_eq!((first, rates.len()), (14, 2));
         assert!((rates[1].first_attempts / 20_000_075.0 - 1.0).abs() < 0.001);
-        let half = parse_load_fact(&facts[0]).unwrap().1[0];
-        assert!((half.admitted / half.first_attempts - 0.5).abs() < 0.001);
-        for broken in
+        let half_admitted = parse_load_fact(&facts[0]).unwrap().1[0];
+        assert!((half_admitted.admitted / half_admitted.first_attempts - 0.5).abs() < 0.001);
+        for malformed in
             [vec![], vec![255; 160], facts[0].body[1..].to_vec(), [&facts[2].body[..], &[0]].concat()]
         {
-            assert_eq!(parse_load_fact(&Fact { body: broken, ..facts[0].clone() }), None);
+            assert_eq!(parse_load_fact(&Fact { body: malformed, ..facts[0].clone() }), None);
         }
         assert_eq!(parse_load_fact(&Fact { key: u64::MAX, ..facts[0].clone() }), None);
     }
