--- a/crates/peers/src/overload/level.rs
+++ b/crates/peers/src/overload/level.rs
@@ -291,9 +291,9 @@
         }
         self.last_note = Some((now, self.level));
         self.note = Some(format!(
-            "shedding level {before:.2} -> {:.2}, desired {:.2}: {:.0}% of the admitted requests were rejected for \
-             lack of capacity or failed, the in-flight requests grow by {:.0}% of the admission rate, averaged \
-             over {} members",
+            "shedding level {before:.2} -> {:.2}, desired {:.2}: {:.0}% of the admitted requests were rejected \
+             for lack of capacity or failed, the in-flight requests grow by {:.0}% of the admission rate, \
+             averaged over {} members",
             self.level,
             self.desired,
             100.0 * self.unmet.rejected_or_failed,
