--- a/crates/peers/src/overload/admission.rs
+++ b/crates/peers/src/overload/admission.rs
@@ -9,7 +9,7 @@
 
 use crate::api::ClassPriority;
 
-use super::figures::Rates;
+use super::rates::Rates;
 
 /// Classes whose priority weights per millisecond of work differ by less than this, as a logarithm, have
 /// overlapping parts of the level's range; the closer they are, the larger the overlap. Two classes that
@@ -108,7 +108,7 @@
     fn rates(service_times: &[f64]) -> Vec<Rates> {
         service_times
             .iter()
-            .map(|&service_ms| Rates { first_tries: 10.0, service_ms, ..Rates::default() })
+            .map(|&service_ms| Rates { first_attempts: 10.0, service_ms, ..Rates::default() })
             .collect()
     }
 
--- a/crates/peers/src/overload/budgets.rs
+++ b/crates/peers/src/overload/budgets.rs
@@ -17,7 +17,7 @@
 use crate::api::{Allowance, Budgets, MemberId};
 use crate::rendezvous;
 
-use super::figures::Rates;
+use super::rates::Rates;
 
 /// The part of the cluster's burst that does not depend on the number of members. In addition, every
 /// configured member counts for one send, because a member without any burst could never retry.
@@ -61,7 +61,7 @@
     /// Returns the retries and the hedged requests that this member may send, by its own rates and the
     /// shedding level.
     pub fn allowances(&self, budgets: &Budgets, own: &[Rates], level: f64) -> [Allowance; 2] {
-        let first_attempts: f64 = own.iter().map(|rates| rates.first_tries).sum();
+        let first_attempts: f64 = own.iter().map(|rates| rates.first_attempts).sum();
         let allowance = |share: f64, burst_share: u32| {
             let share = if share.is_finite() { share.max(0.0) } else { 0.0 };
             // The burst is limited to what one second of first attempts adds to the budget, so that a
@@ -91,7 +91,7 @@
 
     #[test]
     fn bursts_add_up_to_the_limit_and_every_member_has_a_share() {
-        let rates = [Rates { first_tries: 1e6, ..Rates::default() }];
+        let rates = [Rates { first_attempts: 1e6, ..Rates::default() }];
         for count in [1_u16, 7, 300, 1_000] {
             let members: Vec<MemberId> = (0..count).map(MemberId).collect();
             let budgets = Budgets { retries: 0.1, hedges: 0.05 };
@@ -104,7 +104,7 @@
                 assert_eq!(sum, cluster_burst(members.len()));
                 assert!(allowances.iter().all(|allowances| allowances[kind].burst > 0));
             }
-            let slow = [Rates { first_tries: 20.0, ..Rates::default() }];
+            let slow = [Rates { first_attempts: 20.0, ..Rates::default() }];
             let [retries, hedges] = BurstShares::new(members[0], &members).allowances(&budgets, &slow, 0.5);
             assert!(retries.burst <= 2 && retries.share == 0.1);
             assert_eq!(hedges, Allowance { share: 0.0, burst: 0 });
--- a/crates/peers/src/overload/tests.rs
+++ b/crates/peers/src/overload/tests.rs
@@ -173,11 +173,11 @@
                 let from = self.rng.random_range(0..count);
                 for fact in &before[from] {
                     if self.rng.random::<f64>() < 0.7 {
-                        self.members[member].heard(self.now - PERIOD / 2, MemberId(from as u16), fact);
+                        self.members[member].handle_fact(self.now - PERIOD / 2, MemberId(from as u16), fact);
                     }
                 }
             }
-            self.published[member] = self.members[member].counted(self.now, counts);
+            self.published[member] = self.members[member].record_counts(self.now, counts);
             let (guidance, facts) = self.members[member].decide(self.now, MemberId(member as u16), &alive);
             self.published[member].extend(facts);
             self.levels[member] = guidance.level;
@@ -190,10 +190,10 @@
                 in_flight: u32::MAX,
                 ..Default::default()
             };
-            let mut own = Own::default();
+            let mut own = OwnRates::default();
             own.count(self.now, &[ClassCounts { service_ms: 1e9, ..absurd_counts }; 3], &[], 1);
-            let word = Word { level: 1.0, wants: 1.0, capacity: Some(0.01) };
-            self.published[member] = own.facts().into_iter().chain(said(word)).collect();
+            let word = LevelReport { level: 1.0, desired: 1.0, capacity: Some(0.01) };
+            self.published[member] = own.facts().into_iter().chain(level_fact(word)).collect();
         }
     }
 
@@ -316,11 +316,11 @@
             && cluster.guidance[0].retry_after_range.is_some()
     );
     let alive: Vec<MemberId> = (0..20).map(MemberId).collect();
-    let until = cluster.now + ALONE_AFTER + 2_000;
+    let until = cluster.now + ISOLATED_AFTER + 2_000;
     while cluster.now < until {
         cluster.now += PERIOD;
         cluster.members[0]
-            .counted(cluster.now, &[ClassCounts { first_attempts: 9, ..Default::default() }; 3]);
+            .record_counts(cluster.now, &[ClassCounts { first_attempts: 9, ..Default::default() }; 3]);
         let (guidance, facts) = cluster.members[0].decide(cluster.now, MemberId(0), &alive);
         assert!(
             (guidance.level - level).abs() <= 0.31,
