--- a/crates/sagemast/tests/classes.rs
+++ b/crates/sagemast/tests/classes.rs
@@ -253,11 +253,34 @@
     assert!((200..400).contains(&sent), "{sent} of 1000 sent");
 }
 
-proptest! { # ! [ proptest_config ( ProptestConfig { rng_seed : prop :: test_runner :: RngSeed :: Fixed ( 20 ) , .. ProptestConfig :: with_cases ( 200 ) } ) ]
+proptest! {
+    #![proptest_config(ProptestConfig { rng_seed: prop::test_runner::RngSeed::Fixed(20), ..ProptestConfig::with_cases(200) })]
 
-/// Checks any traffic mix, with priority weights up to tenfold apart, service times from a tenth of the
-/// initial estimate to half of the latency objective, and a few or hundreds of sidecars, whether the
-/// servers are full or not. Each class has at least a twentieth of the requests, and the share that is
-/// sent of one class is at least half that of the other. Fifteen seconds after the load has fallen all
-/// requests are sent again.
-# [ test ] fn no_class_is_starved_and_all_is_served_again ( low_percent in 5 ..= 95_u64 , weight_exponent in - 1.0 .. 1.0_f64 , service in [ 0.95 .. 2.48_f64 , 0.95 .. 2.48_f64 ] , busy in 2.5 .. 15.0_f64 , free in 0.0 .. 2.0_f64 , sidecars in prop :: sample :: select ( vec ! [ 2_u32 , 6 , 60 , 350 ] ) , weight_per_work : bool , ) { let ( mut settings , ids ) = two_classes ( [ 10.0 , 10.0 * 10_f64 . powf ( weight_exponent ) ] ) ; ( settings . sidecars , settings . weight_per_work ) = ( sidecars , weight_per_work ) ; let service = service . map ( | power | 10_f64 . powf ( power ) ) ; let mut simulation = Simulation :: new ( settings , & ids ) ; simulation . run ( 600 , low_percent , [ busy , free ] , service ) ; let counts = simulation . run ( 4_000 , low_percent , [ busy , free ] , service ) ; let [ one , other ] = sent_shares ( counts ) ; prop_assert ! ( one . min ( other ) >= 0.5 * one . max ( other ) , "{counts:?}" ) ; simulation . run ( 300 , low_percent , [ 0.5 , 0.5 ] , service ) ; let after = simulation . run ( 200 , low_percent , [ 0.5 , 0.5 ] , service ) ; prop_assert ! ( after . iter ( ) . all ( | ( arrived , sent ) | arrived == sent ) , "afterwards {after:?}" ) ; } }
+    /// Checks any traffic mix, with priority weights up to tenfold apart, service times from a tenth of the
+    /// initial estimate to half of the latency objective, and a few or hundreds of sidecars, whether the
+    /// servers are full or not. Each class has at least a twentieth of the requests, and the share that is
+    /// sent of one class is at least half that of the other. Fifteen seconds after the load has fallen all
+    /// requests are sent again.
+    #[test]
+    fn no_class_is_starved_and_all_is_served_again(
+        low_percent in 5..=95_u64,
+        weight_exponent in -1.0..1.0_f64,
+        service in [0.95..2.48_f64, 0.95..2.48_f64],
+        busy in 2.5..15.0_f64,
+        free in 0.0..2.0_f64,
+        sidecars in prop::sample::select(vec![2_u32, 6, 60, 350]),
+        weight_per_work: bool,
+    ) {
+        let (mut settings, ids) = two_classes([10.0, 10.0 * 10_f64.powf(weight_exponent)]);
+        (settings.sidecars, settings.weight_per_work) = (sidecars, weight_per_work);
+        let service = service.map(|power| 10_f64.powf(power));
+        let mut simulation = Simulation::new(settings, &ids);
+        simulation.run(600, low_percent, [busy, free], service);
+        let counts = simulation.run(4_000, low_percent, [busy, free], service);
+        let [one, other] = sent_shares(counts);
+        prop_assert!(one.min(other) >= 0.5 * one.max(other), "{counts:?}");
+        simulation.run(300, low_percent, [0.5, 0.5], service);
+        let after = simulation.run(200, low_percent, [0.5, 0.5], service);
+        prop_assert!(after.iter().all(|(arrived, sent)| arrived == sent), "afterwards {after:?}");
+    }
+}
