--- a/crates/sagemast/src/route_updates.rs
+++ b/crates/sagemast/src/route_updates.rs
@@ -1,4 +1,5 @@
-//! Other routes while the module runs. Nothing is decided here: classes come and go, and what was learnt goes on.
+//! Changes of routes at run time: classes are added or replaced, and the estimates are kept. This module
+//! makes no decisions.
 
 use routes::policy::Budget;
 
@@ -6,12 +7,13 @@
 use crate::balancer::Balancer;
 
 impl Balancer {
-    /// The classes that it has.
+    /// Returns all classes, by [`ClassId`].
     pub fn classes(&self) -> &[Class] {
         &self.settings.classes
     }
 
-    /// Whether a class has requests or sends under way: until they are over they go by what it sets.
+    /// Returns whether a class has pending requests or outstanding attempts. These follow the class's
+    /// settings until they end, so that the class must not be replaced before.
     pub fn is_class_in_use(&self, class: ClassId) -> bool {
         self.requests.values().any(|pending| pending.class == class)
             || self
@@ -20,8 +22,9 @@
                 .any(|(_, server)| server.outstanding.iter().any(|attempt| attempt.class == class))
     }
 
-    /// Puts a class in the place of one that is not in use, or behind all others. It begins with what is known of
-    /// another: its times, its refusals and what is left of its budgets, as far as its own allow.
+    /// Replaces a class that is not in use, or adds one at the end if `id` does not exist. The new class
+    /// starts with the estimates of the class `known` and with the rest of that class's budgets, as far as
+    /// its own budgets allow.
     pub fn set_class(&mut self, id: ClassId, class: Class, known: ClassId) {
         let mut estimate = self.estimates.classes[known.0];
         estimate.retry_budget =
@@ -35,7 +38,8 @@
         }
     }
 
-    /// Sets the budgets of all classes together. What is left of them stays, as far as they allow.
+    /// Sets the budgets for retries and hedged requests of all classes together. The rest of the old budgets
+    /// is kept, as far as the new ones allow.
     pub fn set_budgets(&mut self, retries: Option<Budget>, hedges: Option<Budget>) {
         let before = self.budgets();
         (self.settings.retry_budget, self.settings.hedge_budget) = (retries, hedges);
--- a/crates/sagemast/tests/as_before.rs
+++ b/crates/sagemast/tests/as_before.rs
@@ -142,6 +142,8 @@
     digest.add(&checkpoint_without_guidance(serde_json::to_value(&balancer).unwrap()).to_string());
     digest.0
 }
+
+/// The stored fields that have been renamed since the digests were taken: the present name and the earlier one.
 const RENAMED: [(&str, &str); 44] = [
     ("endpoints", "fleet"),
     ("estimates", "seen"),
@@ -188,6 +190,8 @@
     ("expected_slowdown", "crowding"),
     ("expected_latency", "wait"),
 ];
+
+/// The same values under the field names that the digests were taken with.
 fn with_earlier_names(value: Value) -> Value {
     match value {
         Value::Object(fields) => {
